--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -97,11 +97,11 @@
         .min(route.timeout_ms);
     if !state.plan.traffic {
         state.plan.traffic = true;
-        peers::traffic(state, out);
+        peers::notify_traffic(state, out);
     }
     if let Some(model) = request.model.as_ref() {
         let tokens = (request.prompt, request.answer);
-        demand::count(state, now, &route, &service, model, tokens);
+        demand::count_request(state, now, &route, &service, model, tokens);
     }
     let flight = Flight {
         fingerprint,
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -23,22 +23,22 @@
         return;
     };
     let heard = !matches!(part, RunPart::NotSent { .. } | RunPart::Broken);
-    endpoints::heard(state, now, id, heard);
+    endpoints::on_output(state, now, id, heard);
     match part {
         RunPart::Head => head(state, now, id, run, out),
         RunPart::Piece { id: event, bytes } => piece(state, now, id, event, bytes, out),
         RunPart::End => end::complete(state, now, id, DirectEffect::Finish(id), out),
         RunPart::Whole { status, not_run } => whole(state, now, id, run, status, not_run, out),
         RunPart::NotSent { refused } => {
-            endpoints::failed(state, now, id, refused, out);
-            endpoints::release(state, id);
+            endpoints::on_run_failure(state, now, id, refused, out);
+            endpoints::release_run(state, id);
             send::again(state, now, id, false, "no connection", out);
         }
         RunPart::Broken => {
             crashes::broke(state, now, id, out);
-            endpoints::broke_off(state, now, id);
-            endpoints::failed(state, now, id, false, out);
-            endpoints::release(state, id);
+            endpoints::on_run_broken(state, now, id);
+            endpoints::on_run_failure(state, now, id, false, out);
+            endpoints::release_run(state, id);
             send::again(state, now, id, true, "the answer broke off", out);
         }
     }
@@ -52,7 +52,7 @@
     if let Some((run, target)) = run_now.filter(|(r, _)| !r.begun) {
         limit::began(state, now, &run.at, now.saturating_sub(run.since), target);
     }
-    endpoints::begun(state, id);
+    endpoints::on_answer_begun(state, id);
     let Some(flight) = state.flights.get_mut(&id) else {
         return;
     };
@@ -104,12 +104,12 @@
     let failed = status >= FAILED && status != OUT_OF_TIME;
     let last = flight.runs >= flight.route.attempts || !flight.route.repeatable();
     if not_run {
-        endpoints::shed(state, now, id);
-        endpoints::release(state, id);
+        endpoints::on_overload(state, now, id);
+        endpoints::release_run(state, id);
         return send::again(state, now, id, false, "not run", out);
     }
     if flight.headed || (failed && !last) {
-        endpoints::release(state, id);
+        endpoints::release_run(state, id);
         return send::again(state, now, id, true, "the endpoint failed", out);
     }
     let pass = DirectEffect::PassWhole { request: id, run };
--- a/src/logic/direct/demand.rs
+++ b/src/logic/direct/demand.rs
@@ -1,8 +1,8 @@
-//! What callers ask for, model by model, over the last seconds.
+//! Demand of callers by model, over the last seconds.
 //!
-//! Each router counts its own requests and reports them on the way to the one that plans,
-//! together with what others have reported to it; the sum comes back with the digests.
-//! A request that was refused and comes back is the same demand and counts once.
+//! Each router counts its own requests and reports them to its parent in the tree towards
+//! the planner, together with the reports it has received; the planner broadcasts the sum in
+//! its digests. A request that was refused and comes back counts once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,51 +16,52 @@
 /// Length of one slot of the window.
 const SLOT_MS: Millis = 500;
 
-/// Slots of the window, six seconds in all: a group of a small model gets over a hundred
-/// requests within it, and a jump of the traffic shows before a load has ended.
+/// Slots of the window, 6 s in all: enough for over a hundred requests to a group of a small
+/// model, and short enough for a jump in traffic to show before a load of a model has ended.
 const SLOTS: u64 = 12;
 
-/// Time between two reports: a third of the shortest time in which a group is traded and
-/// formed anew. On two steps a report is 2 s old at most.
-const TELL_MS: Millis = 1_000;
+/// Time between two reports: a third of the shortest time in which a group is given up for
+/// another one that is formed. Over two steps of the tree a report is at most 2 s old.
+const REPORT_INTERVAL_MS: Millis = 1_000;
 
-/// Time after which a router that tells nothing is no longer counted as told: three
-/// reports lost in a row.
-const STALE_MS: Millis = 4_000;
+/// Age from which a router's report no longer counts, so that three lost in a row are
+/// tolerated.
+const REPORT_VALID_MS: Millis = 4_000;
 
-/// Time for which the sum of all routers is believed by one that takes the duty over and
-/// hasn't been told anew: longer than a lease, a takeover and two reports. Ten seconds old
-/// it still says more than published shares.
-const SUM_STALE_MS: Millis = 10_000;
+/// Age up to which a new planner uses the demand of all routers from its predecessor's
+/// digests, as long as it has reports of fewer routers: longer than a lease, a takeover and
+/// two reports. Demand of that age is still a better estimate than the published shares.
+const FLEET_VALID_MS: Millis = 10_000;
 
-/// Time for which requests are counted before their rate is believed in place of the
-/// published shares: four slots. A choice; other values were not measured.
-const BELIEVED_MS: Millis = 2_000;
+/// Time for which requests are counted before their rate is used in place of the published
+/// shares: four slots.
+const MIN_COUNTED_MS: Millis = 2_000;
 
 /// One request, in thousandths.
-const ONE: u64 = 1_000;
+const REQUEST_MILLI: u64 = 1_000;
 
-/// What a token of an answer counts against one of a prompt: operators weigh requests
-/// of one kind by tokens in and ten times the tokens out.
+/// Weight of a token of an answer against one of a prompt: operators weigh requests by tokens
+/// in and ten times the tokens out.
 const ANSWER_WEIGHT: u64 = 10;
 
-/// Requests of one router, by slot and model.
+/// Demand that a router knows of: its own requests by slot and model, and reports of reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Demand {
     /// Slots by number, the oldest first.
     slots: VecDeque<(u64, BTreeMap<Arc<str>, Arrivals>)>,
     /// When the first request came.
     since: Option<Millis>,
-    /// What other routers have reported here: when, for how many, and what.
-    others: BTreeMap<SocketAddr, (Millis, u64, Vec<ModelDemand>)>,
-    /// What the planner has told of all: when, for how many, and what.
+    /// Reports of other routers by sender: arrival, number of routers counted, demand a second.
+    reports: BTreeMap<SocketAddr, (Millis, u64, Vec<ModelDemand>)>,
+    /// Demand of all routers by the last digest: arrival, number of routers counted, demand a
+    /// second.
     fleet: Option<(Millis, u64, Vec<ModelDemand>)>,
     /// When the next report is due.
-    tell_at: Millis,
+    report_at: Millis,
 }
 
 impl Demand {
-    /// What this router is asked for in a second, by model.
+    /// This router's own demand a second, by model.
     fn own(&self, now: Millis) -> Vec<ModelDemand> {
         let oldest = (now / SLOT_MS).saturating_sub(SLOTS);
         let mut sums: BTreeMap<Arc<str>, Arrivals> = BTreeMap::new();
@@ -74,12 +75,12 @@
         }
         let span = now.saturating_sub(self.since.unwrap_or(now));
         let span = span.clamp(SLOT_MS, SLOTS * SLOT_MS);
-        let a_second = |arrivals: Arrivals| arrivals.first_tries().scaled(1_000, span);
+        let per_second = |arrivals: Arrivals| arrivals.first_tries().scaled(1_000, span);
         let asked = |arrivals: &Arrivals| arrivals.came.requests > 0;
-        sums.into_values().filter(asked).map(a_second).collect()
+        sums.into_values().filter(asked).map(per_second).collect()
     }
 
-    /// What a model is asked for in the slot of this moment.
+    /// Requests for a model in the current slot.
     fn slot(&mut self, now: Millis, model: &Arc<str>) -> Option<&mut Arrivals> {
         let slot = now / SLOT_MS;
         if self.slots.back().map(|s| s.0) != Some(slot) {
@@ -96,14 +97,14 @@
         )
     }
 
-    /// How long requests have been counted.
+    /// Time for which requests have been counted.
     fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.since.unwrap_or(now))
     }
 }
 
-/// Counts a request that has come.
-pub(super) fn count(
+/// Counts a request that has arrived.
+pub(super) fn count_request(
     state: &mut DirectState,
     now: Millis,
     route: &RouteSpec,
@@ -115,12 +116,12 @@
     let Some(engine) = spec.and_then(|s| s.engine.as_ref()) else {
         return;
     };
-    let known = |told: u32, usual: u32| u64::from(if told > 0 { told } else { usual });
-    let prompt = known(prompt, engine.usual_prompt);
-    let answer = known(answer, engine.usual_answer);
+    let or_usual = |given: u32, usual: u32| u64::from(if given > 0 { given } else { usual });
+    let prompt = or_usual(prompt, engine.usual_prompt);
+    let answer = or_usual(answer, engine.usual_answer);
     let one = ModelDemand {
         model: model.clone(),
-        requests: ONE,
+        requests: REQUEST_MILLI,
         prompt,
         square: prompt * prompt,
         answer,
@@ -135,63 +136,65 @@
     }
 }
 
-/// Counts a request that was told to come back.
-pub(super) fn refused(state: &mut DirectState, now: Millis, model: &Arc<str>) {
+/// Counts a request that was refused and is expected to come back.
+pub(super) fn count_refusal(state: &mut DirectState, now: Millis, model: &Arc<str>) {
     if let Some(arrivals) = state.demand.slot(now, model) {
-        arrivals.refused += ONE;
+        arrivals.refused += REQUEST_MILLI;
     }
 }
 
-/// Reports what this router and those behind it are asked for, on the way to the planner.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    if now < state.demand.tell_at {
+/// Sends the demand of this router's subtree to its parent in the tree, when it is due.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    if now < state.demand.report_at {
         return;
     }
-    state.demand.tell_at = now + TELL_MS;
+    state.demand.report_at = now + REPORT_INTERVAL_MS;
     let holder = state.plan.duty.holder.as_deref().map(InstanceId::new);
     let to = holder.and_then(|root| tree::parent(state, &root));
     if let Some(to) = to {
-        let (routers, models) = reported(state, now);
+        let (routers, models) = subtree_demand(state, now);
         let message = PeerMessage::Demand { routers, models };
         out.push(Effect::Direct(DirectEffect::Tell { to, message }));
     }
 }
 
-/// Another router has reported.
-pub(super) fn told(
+/// Handles another router's report.
+pub(super) fn on_report(
     state: &mut DirectState,
     now: Millis,
     from: SocketAddr,
     routers: u64,
     models: Vec<ModelDemand>,
 ) {
-    learn_traffic(state, &models);
-    let others = &mut state.demand.others;
-    others.retain(|_, (at, ..)| now < *at + STALE_MS);
-    others.insert(from, (now, routers, models));
+    record_traffic(state, &models);
+    let reports = &mut state.demand.reports;
+    reports.retain(|_, (at, ..)| now < *at + REPORT_VALID_MS);
+    reports.insert(from, (now, routers, models));
 }
 
-/// The planner has told what all routers are asked for.
-pub(super) fn told_all(
+/// Handles the demand of all routers that came with a digest.
+pub(super) fn on_fleet_demand(
     state: &mut DirectState,
     now: Millis,
     routers: u64,
     models: Vec<ModelDemand>,
 ) {
-    learn_traffic(state, &models);
+    record_traffic(state, &models);
     state.demand.fleet = Some((now, routers, models));
 }
 
-/// Callers have come to some router: loads are no longer cheap. The one word that tells
-/// the planner so may be lost, and doesn't reach one that takes the duty over.
-fn learn_traffic(state: &mut DirectState, models: &[ModelDemand]) {
+/// Records that some router has callers, after which loads are no longer cheap. The message
+/// that tells the planner of the first caller may be lost, and doesn't reach a later planner.
+fn record_traffic(state: &mut DirectState, models: &[ModelDemand]) {
     state.plan.traffic |= models.iter().any(|m| m.requests > 0);
 }
 
-/// What this router and those that report to it are asked for, and how many they are.
-fn reported(state: &DirectState, now: Millis) -> (u64, Vec<ModelDemand>) {
-    let fresh = state.demand.others.values();
-    let fresh: Vec<_> = fresh.filter(|(at, ..)| now < *at + STALE_MS).collect();
+/// Number of routers in this router's subtree, itself included, and their demand a second.
+fn subtree_demand(state: &DirectState, now: Millis) -> (u64, Vec<ModelDemand>) {
+    let fresh = state.demand.reports.values();
+    let fresh: Vec<_> = fresh
+        .filter(|(at, ..)| now < *at + REPORT_VALID_MS)
+        .collect();
     let mut sums: BTreeMap<Arc<str>, ModelDemand> = BTreeMap::new();
     let own = state.demand.own(now);
     for demand in own.iter().chain(fresh.iter().flat_map(|(.., d)| d)) {
@@ -204,34 +207,38 @@
     (routers, sums.into_values().collect())
 }
 
-/// What is known of all routers' demand, and how many are counted in it: what was
-/// reported here, or what the planner before has told, whichever counts more.
-pub(super) fn sum(state: &DirectState, now: Millis) -> (u64, Vec<ModelDemand>) {
-    let reported = reported(state, now);
+/// Number of routers whose demand is known, and their demand a second: from the reports sent
+/// here or from the last digest, whichever counts more routers.
+pub(super) fn known_demand(state: &DirectState, now: Millis) -> (u64, Vec<ModelDemand>) {
+    let reported = subtree_demand(state, now);
     let fleet = state.demand.fleet.as_ref();
-    match fleet.filter(|(at, told, _)| now < at + SUM_STALE_MS && *told > reported.0) {
-        Some((_, told, models)) => (*told, models.clone()),
+    match fleet.filter(|(at, counted, _)| now < at + FLEET_VALID_MS && *counted > reported.0) {
+        Some((_, counted, models)) => (*counted, models.clone()),
         None => reported,
     }
 }
 
 /// Whether enough is known to weigh models against each other: requests were counted for
-/// some time, and all but a few routers have told theirs.
-pub(super) fn known(state: &DirectState, now: Millis) -> bool {
-    let (told, _) = sum(state, now);
-    state.demand.age(now) >= BELIEVED_MS && told * 4 >= routers(state) * 3
+/// `MIN_COUNTED_MS`, and three quarters of the routers are included.
+pub(super) fn is_known(state: &DirectState, now: Millis) -> bool {
+    let (counted, _) = known_demand(state, now);
+    state.demand.age(now) >= MIN_COUNTED_MS && counted * 4 >= router_count(state) * 3
 }
 
-fn routers(state: &DirectState) -> u64 {
+/// Number of routers known, this one included.
+fn router_count(state: &DirectState) -> u64 {
     state.peers.len() as u64 + 1
 }
 
-/// What all routers are asked for, by model. A router that hasn't told yet counts as
-/// much as the others do on average.
-pub(super) fn all(state: &DirectState, now: Millis) -> BTreeMap<Arc<str>, ModelDemand> {
-    let (told, models) = sum(state, now);
-    let told = told.max(1);
-    let routers = told.max(routers(state));
-    let scaled = |d: &ModelDemand| (d.model.clone(), d.scaled(routers, told));
+/// Estimated demand a second of all routers, by model. Routers that haven't reported yet are
+/// taken to have the average demand of the reports.
+pub(super) fn estimated_demand(
+    state: &DirectState,
+    now: Millis,
+) -> BTreeMap<Arc<str>, ModelDemand> {
+    let (counted, models) = known_demand(state, now);
+    let counted = counted.max(1);
+    let routers = counted.max(router_count(state));
+    let scaled = |d: &ModelDemand| (d.model.clone(), d.scaled(routers, counted));
     models.iter().map(scaled).collect()
 }
--- a/src/logic/direct/digest.rs
+++ b/src/logic/direct/digest.rs
@@ -3,33 +3,33 @@
 use super::{EntryNews, ModelDemand};
 use crate::types::{InstanceId, Millis, StorePosition};
 
-/// What the router that plans tells all others, so that they need not read the store.
+/// What the planner broadcasts to all other routers, so that they needn't read the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest {
-    /// The router that plans.
+    /// The planner, which is the root of the trees.
     pub root: InstanceId,
-    /// Fence of its duty; a digest of an older one is left aside.
+    /// Fence of its planner lease; digests with a lower one are dropped.
     pub fence: u64,
-    /// Number of the digest under that fence.
+    /// Number of the digest under that fence; it rises.
     pub number: u64,
-    /// Tree along which it goes.
+    /// Tree along which it is forwarded.
     pub tree: u8,
-    /// Position of the list behind which the news begin.
+    /// Position of the list after which the updates begin.
     pub from: StorePosition,
-    /// Position of the list up to which they go; the routing was read in the same era.
+    /// Position of the list up to which they reach; the routing was read in the same era.
     pub upto: StorePosition,
-    /// Whether they are all there; otherwise the list has to be read.
+    /// Whether it has all updates between them; otherwise the list has to be read.
     pub whole: bool,
-    /// How long ago the planner's list was as new as the store's.
+    /// Time since the planner's list was known to be current, in milliseconds.
     pub list_age: Millis,
     /// Version of the planner's routing.
     pub routing: u64,
-    /// How long ago that was the newest one in the store.
+    /// Time since that was known to be the newest version in the store, in milliseconds.
     pub routing_age: Millis,
-    /// Routers whose demand is counted below.
+    /// Number of routers whose demand is summed up in `demand`.
     pub told: u64,
-    /// What those routers are asked for in a second, by model.
+    /// Their demand a second, by model.
     pub demand: Vec<ModelDemand>,
-    /// What has changed in the list, with the position by which it had.
+    /// Endpoint updates, each with the position up to which it was read.
     pub news: Vec<(StorePosition, EntryNews)>,
 }
--- a/src/logic/direct/digest_part.rs
+++ b/src/logic/direct/digest_part.rs
@@ -1,33 +1,34 @@
-//! Divides news among digests that fit a datagram each.
+//! Splits endpoint updates into digests that fit a datagram each.
 
 use std::collections::VecDeque;
 
 use super::{EntryNews, NewsBatch};
 use crate::types::StorePosition;
 
-/// Bytes of news in one digest, which leaves room for the rest of a datagram.
-const NEWS_BYTES: usize = 1_000;
+/// Most bytes of updates in one digest, which leaves room for the rest of the datagram.
+const MAX_UPDATE_BYTES: usize = 1_000;
 
-/// Most digests that go at once. What doesn't fit is a gap, and others read the list.
-const PARTS: usize = 3;
+/// Size of the updates sent at a time, as a number of full digests. Older batches that don't
+/// fit are left out, and routers that miss them read the list.
+const FULL_PARTS: usize = 3;
 
-/// News that go in one digest.
+/// The updates of one digest.
 pub(super) struct DigestPart {
-    /// Position of the list behind which they begin.
+    /// Position of the list after which they begin.
     pub from: StorePosition,
-    /// Position up to which they go.
+    /// Position up to which they reach.
     pub upto: StorePosition,
-    /// Whether they are all there.
+    /// Whether none was left out.
     pub whole: bool,
-    /// Bytes that all of them would take.
+    /// Size of all updates, those left out included.
     bytes: usize,
-    /// The news, with the position by which each had come.
+    /// The updates, each with the position up to which it was read.
     pub news: Vec<(StorePosition, EntryNews)>,
 }
 
 impl DigestPart {
-    /// A part without news, behind a position.
-    fn behind(at: StorePosition) -> Self {
+    /// A part without updates, after a position.
+    fn empty_after(at: StorePosition) -> Self {
         Self {
             from: at,
             upto: at,
@@ -37,44 +38,45 @@
         }
     }
 
-    /// Adds what came with one reading, as far as there is room.
+    /// Adds a batch of updates, as far as there is bytes_left.
     fn add(&mut self, batch: &NewsBatch) {
         self.upto = self.upto.max(batch.after);
-        for one in &batch.news {
-            self.bytes += one.bytes();
-            self.whole &= self.bytes <= NEWS_BYTES;
+        for update in &batch.news {
+            self.bytes += update.bytes();
+            self.whole &= self.bytes <= MAX_UPDATE_BYTES;
             if self.whole {
-                self.news.push((batch.after, one.clone()));
+                self.news.push((batch.after, update.clone()));
             }
         }
     }
 }
 
-/// The latest news, as many readings of the list in one digest as fit, up to a position.
-/// What was read at once goes together or is cut: then others read the list themselves.
-pub(super) fn parts(recent: &VecDeque<NewsBatch>, at: StorePosition) -> Vec<DigestPart> {
-    let mut room = PARTS * NEWS_BYTES;
+/// Splits the latest batches of updates into parts, with as many batches in one part as fit. A
+/// batch isn't spread over several parts: one that is larger than a part is cut, and the other
+/// routers read the list. Without batches there is one empty part at position `at`.
+pub(super) fn split_into_parts(recent: &VecDeque<NewsBatch>, at: StorePosition) -> Vec<DigestPart> {
+    let mut bytes_left = FULL_PARTS * MAX_UPDATE_BYTES;
     let fits = recent.iter().rev().take_while(|batch| {
-        let bytes = batch.bytes().min(NEWS_BYTES);
-        let fits = bytes <= room;
-        room = room.saturating_sub(bytes);
+        let bytes = batch.bytes().min(MAX_UPDATE_BYTES);
+        let fits = bytes <= bytes_left;
+        bytes_left = bytes_left.saturating_sub(bytes);
         fits
     });
     let skipped = recent.len() - fits.count();
     let mut parts: Vec<DigestPart> = Vec::new();
     for batch in recent.iter().skip(skipped) {
-        let fits = |p: &&mut DigestPart| p.bytes + batch.bytes() <= NEWS_BYTES;
+        let fits = |p: &&mut DigestPart| p.bytes + batch.bytes() <= MAX_UPDATE_BYTES;
         match parts.last_mut().filter(fits) {
             Some(part) => part.add(batch),
             None => {
-                let mut part = DigestPart::behind(batch.before);
+                let mut part = DigestPart::empty_after(batch.before);
                 part.add(batch);
                 parts.push(part);
             }
         }
     }
     if parts.is_empty() {
-        parts.push(DigestPart::behind(at));
+        parts.push(DigestPart::empty_after(at));
     }
     parts
 }
--- a/src/logic/direct/digest_state.rs
+++ b/src/logic/direct/digest_state.rs
@@ -3,41 +3,40 @@
 use super::{EntryNews, ListPace, NewsBatch};
 use crate::types::{Millis, StorePosition};
 
-/// What a router knows of digests: those that it sends while it plans, and those that
-/// it hears.
+/// State of digests: those that this router sends while it plans, and those that it receives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DigestState {
-    /// Changes of the list that haven't been given a position yet.
+    /// Updates that have no store position yet.
     pub pending: Vec<EntryNews>,
-    /// Changes of the last seconds, the oldest first.
+    /// Batches of updates that are still repeated in digests, the oldest first.
     pub recent: VecDeque<NewsBatch>,
-    /// When the list was last known to be as new as the store's.
+    /// When the list was last known to be current.
     pub list_at: Millis,
-    /// When the routing was last known to be as new as the store's.
+    /// When the routing was last known to be current.
     pub routing_at: Millis,
     /// Number of the last digest sent.
     pub number: u64,
-    /// When it was sent.
+    /// When the last digests were sent.
     pub sent: Millis,
-    /// Whether something has changed since.
+    /// Whether there are new updates since.
     pub changed: bool,
-    /// Highest fence heard.
+    /// Highest fence received.
     pub fence: u64,
-    /// Number of the last digest under that fence, by tree.
+    /// Number of the last digest received under that fence, by tree.
     pub heard: [u64; super::tree::TREES as usize],
-    /// Number of the last digest whose news were taken in.
+    /// Number of the last digest that was applied.
     pub taken: u64,
-    /// Position up to which all that decides was read or heard.
+    /// Position up to which every change that affects routing was read or received.
     pub upto: StorePosition,
-    /// Whether reading has gone on behind something that was only told: the list has to be
-    /// read whole before this router plans.
+    /// Whether reading went on after changes known by digests only, which lack those that
+    /// don't affect routing: the list has to be read in full before this router plans.
     pub skipped: bool,
-    /// Until when what was heard stands in for reading the list.
+    /// Until when digests make reading the list unnecessary.
     pub list_until: Millis,
-    /// Until when it stands in for reading the routing.
+    /// Until when they make reading the routing unnecessary.
     pub routing_until: Millis,
-    /// Pace of reading that the host was told.
+    /// Pace of reading the list last sent to the host.
     pub pace: Option<ListPace>,
-    /// Whether the host was told to leave the routing alone.
+    /// Whether the host was last told not to read the routing.
     pub hold: bool,
 }
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -1,54 +1,56 @@
-//! Digests: the router that plans reads the store for all others.
+//! Digests: the planner reads the store on behalf of all other routers.
 //!
-//! It tells them what changes in the list, which routing is in force and what all are
-//! asked for, along two trees. Whoever has heard everything up to a moment ago doesn't
-//! read the store; whoever misses something, or hears nothing for a while, does.
-//! Without them 52 routers made 10,166 calls to the store on a calm day of 34 s, with them
-//! 2,474.
+//! It broadcasts changes of the endpoint list, the version of its routing and the demand of
+//! all routers along two trees. A router that has received every recent digest doesn't poll
+//! the store; one that misses an update, or receives nothing for a while, does. For 52
+//! routers digests cut the calls to the store from 10,166 to 2,474 in 34 s of light load.
 
-use super::digest_part::parts;
+use super::digest_part::split_into_parts;
 use super::{demand, endpoints, tree, DirectEffect, DirectState, EntryNews, ListPace};
 use super::{Digest, Mechanism, NewsBatch, PeerMessage};
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, StorePosition};
 
-/// Longest time between two digests: a third of the time for which one holds.
-const BEAT_MS: Millis = 400;
+/// Longest time between two digests: a third of `VALID_MS`.
+const MAX_INTERVAL_MS: Millis = 400;
 
-/// Shortest time between two digests, so that what changes together goes together.
-const PAUSE_MS: Millis = 40;
+/// Shortest time between two digests, so that changes at about the same time are sent
+/// together.
+const MIN_INTERVAL_MS: Millis = 40;
 
-/// Time for which news are told again: a lost datagram is made up for by the next two.
+/// Time for which each update is sent again: the next two digests make up for a lost
+/// datagram.
 const REPEAT_MS: Millis = 1_200;
 
-/// Time for which a router need not read what the planner had read at the beginning of
-/// it. The shortest bound that operators publish for a new routing or an endpoint that
-/// leaves is 2 s, within which one more reading has to come after it. A slow answer of
-/// the store makes what was read look younger than it is; how much of the rest that takes
-/// was not measured.
-const HOLDS_MS: Millis = 1_200;
+/// Time after the planner's reading within which other routers needn't read the same. The
+/// shortest bound that operators publish for applying a new routing or an endpoint's leaving
+/// is 2 s, and a router's own reading has to fit in after this time. A slow answer of the
+/// store makes a reading look more recent than it is, which uses up some of the rest.
+const VALID_MS: Millis = 1_200;
 
-/// Remembers a change of the list that decides where requests go.
-pub(super) fn note(state: &mut DirectState, news: EntryNews) {
-    // What the first reading shows is no change.
+/// Adds an endpoint update to those that have no store position yet.
+pub(super) fn add_update(state: &mut DirectState, news: EntryNews) {
+    // The entries of the first reading are no changes.
     if state.listed_once {
         state.digests.pending.push(news);
     }
 }
 
-/// Remembers an endpoint that heads a group by its own word, before the list shows it.
-pub(super) fn opened(state: &mut DirectState, now: Millis, id: &InstanceId) {
+/// Broadcasts the head of a group that has opened by its own report, before the list shows
+/// it.
+pub(super) fn on_head_opened(state: &mut DirectState, now: Millis, id: &InstanceId) {
     let Some(view) = state.endpoints.get(id) else {
         return;
     };
     let news = EntryNews::changed(id, &view.entry);
-    note(state, news);
+    add_update(state, news);
     let known = state.listed_at;
-    close(state, now, known, known);
+    close_batch(state, now, known, known);
 }
 
-/// The list was read, or told, up to a position: what was noted since came with that.
-pub(super) fn close(
+/// Makes a batch of the pending updates, which came with a reading of the list (or with a
+/// digest) from `before` up to `after`, and drops batches that need not be repeated.
+pub(super) fn close_batch(
     state: &mut DirectState,
     now: Millis,
     before: StorePosition,
@@ -69,41 +71,41 @@
     }
 }
 
-/// The list was read from the store, up to a position.
-pub(super) fn list_read(
+/// The list was read from the store, up to a position. Where digests had already brought this
+/// router further, the answer may have undone changes, so that the list is read again.
+pub(super) fn on_list_read(
     state: &mut DirectState,
     now: Millis,
     before: StorePosition,
     at: StorePosition,
 ) {
-    close(state, now, before, at);
+    close_batch(state, now, before, at);
     let digests = &mut state.digests;
     digests.list_at = state.drained_at;
     if at < digests.upto {
-        // An answer that was overtaken: what it undid is read again.
         digests.upto = StorePosition::default();
         digests.list_until = 0;
     }
     digests.upto = digests.upto.max(at);
 }
 
-/// Tells other routers, while this one plans, and the host how often to read.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Sends digests, while this router plans, and sends the host the pace of reading.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let plans = state.plan.duty.holds(now) && state.stopping.is_none();
     let digests = &state.digests;
     let since = now.saturating_sub(digests.sent);
-    let due = since >= BEAT_MS || (digests.changed && since >= PAUSE_MS);
+    let due = since >= MAX_INTERVAL_MS || (digests.changed && since >= MIN_INTERVAL_MS);
     if plans && due && state.knobs.on(Mechanism::News) && !state.peers.is_empty() {
-        send(state, now, out);
+        send_digests(state, now, out);
     }
-    pace(state, now, out);
+    send_read_pace(state, now, out);
 }
 
-fn send(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+fn send_digests(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     state.digests.sent = now;
     state.digests.changed = false;
-    let (told, demand) = demand::sum(state, now);
-    for part in parts(&state.digests.recent, state.listed_at) {
+    let (told, demand) = demand::known_demand(state, now);
+    for part in split_into_parts(&state.digests.recent, state.listed_at) {
         state.digests.number += 1;
         let digests = &state.digests;
         let digest = Digest {
@@ -115,7 +117,7 @@
             upto: part.upto,
             whole: part.whole,
             list_age: now.saturating_sub(digests.list_at),
-            routing: version(state),
+            routing: routing_version(state),
             routing_age: now.saturating_sub(digests.routing_at),
             told,
             demand: demand.clone(),
@@ -126,25 +128,26 @@
                 tree,
                 ..digest.clone()
             };
-            pass_on(state, &digest, out);
+            forward(state, &digest, out);
         }
     }
 }
 
-fn version(state: &DirectState) -> u64 {
+fn routing_version(state: &DirectState) -> u64 {
     state.routing.as_ref().map_or(0, |r| r.version)
 }
 
-fn pass_on(state: &DirectState, digest: &Digest, out: &mut Vec<Effect>) {
+fn forward(state: &DirectState, digest: &Digest, out: &mut Vec<Effect>) {
     for to in tree::children(state, &digest.root, digest.tree) {
         let message = PeerMessage::Digest(Box::new(digest.clone()));
         out.push(Effect::Direct(DirectEffect::Tell { to, message }));
     }
 }
 
-/// A digest has come. It may have waited for this process, which counts as age here and
-/// wherever it goes next.
-pub(super) fn received(
+/// Handles a digest: forwards it and applies it, unless it is outdated or a duplicate. The time
+/// that it may have waited for this process is added to its ages, also for the routers that it
+/// is forwarded to.
+pub(super) fn on_digest(
     state: &mut DirectState,
     now: Millis,
     mut digest: Digest,
@@ -154,7 +157,7 @@
     digest.list_age += waited;
     digest.routing_age += waited;
     if Some(digest.upto.era) < state.store_era {
-        // Its sender hasn't noticed yet that the store has gone back.
+        // Its sender hasn't noticed yet that the store was restored from a backup.
         return;
     }
     let known = &mut state.digests;
@@ -172,17 +175,17 @@
     }
     known.heard[tree] = digest.number;
     let new = digest.number > known.taken;
-    pass_on(state, &digest, out);
+    forward(state, &digest, out);
     if new && state.listed {
-        take_in(state, now, digest, out);
+        apply_digest(state, now, digest, out);
     }
 }
 
-fn take_in(state: &mut DirectState, now: Millis, digest: Digest, out: &mut Vec<Effect>) {
+fn apply_digest(state: &mut DirectState, now: Millis, digest: Digest, out: &mut Vec<Effect>) {
     state.digests.taken = digest.number;
-    demand::told_all(state, now, digest.told, digest.demand);
+    demand::on_fleet_demand(state, now, digest.told, digest.demand);
     if digest.upto.era != state.listed_at.era {
-        // The store has gone back, which its next answer here shows as well.
+        // The store was restored from a backup. This router finds out by reading it.
         state.digests.list_until = 0;
         state.digests.routing_until = 0;
         return;
@@ -190,22 +193,23 @@
     let known = state.digests.upto;
     let mut whole = digest.whole && digest.from <= known;
     for (at, news) in digest.news {
-        whole &= endpoints::told(state, now, news, at > known, out);
+        whole &= endpoints::on_endpoint_update(state, now, news, at > known, out);
     }
     if whole {
-        close(state, now, known, known.max(digest.upto));
+        close_batch(state, now, known, known.max(digest.upto));
         state.digests.upto = known.max(digest.upto);
-        state.digests.list_until = (now + HOLDS_MS).saturating_sub(digest.list_age);
+        state.digests.list_until = (now + VALID_MS).saturating_sub(digest.list_age);
     }
-    state.digests.routing_until = if version(state) >= digest.routing {
-        (now + HOLDS_MS).saturating_sub(digest.routing_age)
+    state.digests.routing_until = if routing_version(state) >= digest.routing {
+        (now + VALID_MS).saturating_sub(digest.routing_age)
     } else {
         0
     };
 }
 
-/// Tells the host how often the list is read, and whether the routing is.
-fn pace(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Sends the host the pace of reading the list, and whether the routing is read, if either has
+/// changed.
+fn send_read_pace(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let plans = state.plan.duty.fence > 0;
     let pace = if plans || !state.knobs.on(Mechanism::News) {
         ListPace::Often
@@ -217,7 +221,8 @@
     let hold = !plans && now < state.digests.routing_until;
     if state.digests.pace != Some(pace) || state.digests.hold != hold {
         if state.digests.pace == Some(ListPace::Told) {
-            // What decides nothing was not told: members' places, what hosts keep.
+            // Digests lack changes that don't affect where requests go, such as the seats of
+            // members other than heads and the models that hosts keep.
             state.digests.skipped = true;
         }
         state.digests.pace = Some(pace);
--- a/src/logic/direct/end.rs
+++ b/src/logic/direct/end.rs
@@ -13,8 +13,8 @@
     last: DirectEffect,
     out: &mut Vec<Effect>,
 ) {
-    endpoints::served(state, id);
-    endpoints::release(state, id);
+    endpoints::on_served(state, id);
+    endpoints::release_run(state, id);
     let Some(flight) = state.flights.remove(&id) else {
         return;
     };
@@ -89,7 +89,7 @@
         Problem::Unknown
     };
     if let Some(model) = model {
-        demand::refused(state, now, &model);
+        demand::count_refusal(state, now, &model);
     }
     finish(state, id, problem, why, out);
 }
@@ -183,7 +183,7 @@
 pub(super) fn cancel(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
     let run = state.flights.get(&id).and_then(|f| f.run.as_ref());
     if let Some(run) = run.map(|r| r.id) {
-        endpoints::release(state, id);
+        endpoints::release_run(state, id);
         out.push(Effect::Direct(DirectEffect::Cancel(run)));
     }
 }
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -1,50 +1,51 @@
-//! What this router knows of endpoints: the list and its own experience.
+//! What this router knows about endpoints, from the endpoint list and from its own runs.
 
 use super::{digests, limit, plan, DirectState, EndpointView, EntryNews, LookResult, Sight};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis};
 
-/// Time that an endpoint which has left the list is remembered.
-const REMEMBERED_MS: Millis = 15_000;
+/// Time for which an endpoint that has left the list is kept.
+const UNLISTED_KEPT_MS: Millis = 15_000;
 
-/// Shortest pause that lies between two passes of an engine; what comes sooner
-/// belongs to the same pass.
-const PASS_MS: Millis = 15;
+/// Shortest gap between two decoding passes of an engine. Output that follows sooner
+/// belongs to the same pass and is no measure of the engine's pauses.
+const MIN_PASS_GAP_MS: Millis = 15;
 
-/// Time that a full endpoint gets nothing new.
-const FULL_MS: Millis = 60;
+/// Time for which an endpoint that had no room gets no new requests.
+const FULL_BACKOFF_MS: Millis = 60;
 
-/// Failures in a row after which an endpoint is left alone for longer.
-const DOUBLINGS: u32 = 3;
+/// Failures in a row from which the backoff no longer doubles.
+const MAX_BACKOFF_FAILURES: u32 = 3;
 
-/// The list was read whole.
-pub(super) fn listed(
+/// Applies a complete reading of the endpoint list; endpoints that it lacks are unlisted.
+pub(super) fn on_list_read(
     state: &mut DirectState,
     now: Millis,
     entries: Vec<(InstanceId, EndpointEntry)>,
     out: &mut Vec<Effect>,
 ) {
     state.listed = true;
-    let named: std::collections::BTreeSet<_> = entries.iter().map(|(id, _)| id.clone()).collect();
+    let listed_ids: std::collections::BTreeSet<_> =
+        entries.iter().map(|(id, _)| id.clone()).collect();
     let known: Vec<_> = state.endpoints.keys().cloned().collect();
-    for id in known.into_iter().filter(|id| !named.contains(id)) {
-        changed(state, now, id, None, out);
+    for id in known.into_iter().filter(|id| !listed_ids.contains(id)) {
+        on_entry_change(state, now, id, None, out);
     }
     for (id, entry) in entries {
-        changed(state, now, id, Some(entry), out);
+        on_entry_change(state, now, id, Some(entry), out);
     }
     state.listed_once = true;
     let heads = state.endpoints.values().filter(|v| v.listed && v.heads());
     let note = Note::new(NoteCode::ListRead)
         .with("revision", state.listed_at.revision)
         .with("era", state.listed_at.era)
-        .with("endpoints", named.len())
+        .with("endpoints", listed_ids.len())
         .with("heads", heads.count());
     out.push(Effect::Note(note));
 }
 
-/// One entry of the list has changed, or has gone.
-pub(super) fn changed(
+/// Applies a change of one entry of the list; `None` means that the entry was removed.
+pub(super) fn on_entry_change(
     state: &mut DirectState,
     now: Millis,
     id: InstanceId,
@@ -58,21 +59,21 @@
             out.push(Effect::Note(
                 Note::new(NoteCode::EndpointUnlisted).with("endpoint", &id),
             ));
-            digests::note(state, EntryNews::Gone(id));
+            digests::add_update(state, EntryNews::Gone(id));
         }
         return;
     };
     if let Some(view) = state.endpoints.get(&id) {
-        if is_old(view, &entry) {
+        if is_outdated(view, &entry) {
             return;
         }
         if entry.restarts(&view.entry) {
-            started_again(state, now, &id, &entry, out);
+            on_restart(state, now, &id, &entry, out);
         }
     }
     let entry = plan::corrected(state, &id, entry);
     let Some(view) = state.endpoints.get_mut(&id) else {
-        // What the first reading shows is one event, not one for each endpoint.
+        // The first reading is logged as a whole, not endpoint by endpoint.
         if state.listed_once {
             let note = Note::new(NoteCode::EndpointListed)
                 .with("endpoint", &id)
@@ -80,7 +81,7 @@
                 .with("service", &entry.service);
             out.push(Effect::Note(note));
         }
-        digests::note(state, EntryNews::Listed(id.clone(), entry.clone()));
+        digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
         let view = EndpointView {
             new: state.listed_once,
             ..EndpointView::new(entry, now)
@@ -103,7 +104,7 @@
     }
     let group = |e: &EndpointEntry| e.seat.as_ref().map(|s| s.epoch);
     if group(&view.entry) != group(&entry) {
-        // In another group it is as good as another endpoint.
+        // What was learnt about it in its former group doesn't apply to another group.
         view.limit = 0;
         view.quick = 0;
         view.silent = None;
@@ -117,21 +118,22 @@
     view.last = entry.model.clone().or_else(|| view.last.take());
     view.entry = entry;
     if let Some(news) = news {
-        digests::note(state, news);
+        digests::add_update(state, news);
     }
 }
 
-/// Whether an entry tells less than what is known: a store that has come back from a copy
-/// shows what was written before, also of endpoints that have left since.
-fn is_old(view: &EndpointView, entry: &EndpointEntry) -> bool {
+/// Whether an entry is older than what is known. A store that was restored from a backup
+/// shows earlier entries, also those of endpoints that have left since.
+fn is_outdated(view: &EndpointView, entry: &EndpointEntry) -> bool {
     let known = &view.entry;
-    let again = !view.listed && known.born.is_some() && known.born == entry.born;
-    entry.precedes(known) || (again && entry.beats <= known.beats)
+    let relisted = !view.listed && known.born.is_some() && known.born == entry.born;
+    entry.precedes(known) || (relisted && entry.beats <= known.beats)
 }
 
-/// An endpoint has started again under its id: it holds no place in a group, and nothing
-/// that was learnt of it holds.
-fn started_again(
+/// An endpoint has restarted under its id. It is in no group any more, and everything learnt
+/// about it is discarded, except the counts of this router's runs and of the prompt tokens
+/// that it has yet to read for them.
+fn on_restart(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -155,12 +157,13 @@
             ..EndpointView::new(entry.clone(), now)
         },
     );
-    digests::note(state, EntryNews::Listed(id.clone(), entry.clone()));
+    digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
     plan::started_again(state, now, id, before.entry.seat.as_ref(), out);
 }
 
-/// An endpoint's own report names another life than the list: the list's word is over.
-pub(super) fn reported(
+/// Applies a probe result that shows a later start of the endpoint than its entry does: the
+/// entry is replaced before the list shows the restart.
+pub(super) fn on_probe_result(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -182,17 +185,18 @@
         ..view.entry.clone()
     };
     if entry.restarts(&view.entry) {
-        changed(state, now, id.clone(), Some(entry), out);
+        on_entry_change(state, now, id.clone(), Some(entry), out);
     }
 }
 
-/// The planner has told of an entry; with `later` it is of a later revision than what
-/// this router knows of the list, and newer within one group. An entry with more heartbeats
-/// or in a later group is newer in any case: the planner may know of a group before the
-/// list shows it.
+/// Applies an endpoint update from the planner. `later` says that its store position is above
+/// what this router knows of the list; it then counts as newer within the same group epoch.
+/// An entry with more heartbeats or of a later epoch is newer in any case, as the planner may
+/// know of a group before the list shows it.
 ///
-/// False where it is about an endpoint that this router should know of and doesn't.
-pub(super) fn told(
+/// Returns false if the update changes an entry that this router doesn't have, so that the
+/// list has to be read.
+pub(super) fn on_endpoint_update(
     state: &mut DirectState,
     now: Millis,
     news: EntryNews,
@@ -203,18 +207,18 @@
     let older = known.map(|v| (v.entry.clone(), v.epoch()));
     let newer = |born: Option<u64>, beats: u64, seat: &Option<GroupSeat>| {
         let epoch = seat.as_ref().map_or(0, |s| s.epoch);
-        let past = |(e, at): &(EndpointEntry, u64)| {
-            let further = epoch > *at || (later && epoch == *at);
-            born > e.born || (born == e.born && (beats > e.beats || further))
+        let is_newer_than = |(e, at): &(EndpointEntry, u64)| {
+            let later_group = epoch > *at || (later && epoch == *at);
+            born > e.born || (born == e.born && (beats > e.beats || later_group))
         };
-        older.as_ref().map_or(later, past)
+        older.as_ref().map_or(later, is_newer_than)
     };
     match news {
-        EntryNews::Gone(id) if later => changed(state, now, id, None, out),
+        EntryNews::Gone(id) if later => on_entry_change(state, now, id, None, out),
         EntryNews::Gone(_) => {}
         EntryNews::Listed(id, entry) => {
             if newer(entry.born, entry.beats, &entry.seat) {
-                changed(state, now, id, Some(entry), out);
+                on_entry_change(state, now, id, Some(entry), out);
             }
         }
         EntryNews::Changed {
@@ -228,7 +232,8 @@
             if !newer(born, beats, &seat) {
                 return true;
             }
-            // Of a life that was never heard of the rest isn't known.
+            // The update lacks the other fields, which are known only for the same process
+            // of the endpoint.
             let Some((older, _)) = older.filter(|(e, _)| e.born == born) else {
                 return false;
             };
@@ -239,36 +244,39 @@
                 seat,
                 ..older
             };
-            changed(state, now, id, Some(entry), out);
+            on_entry_change(state, now, id, Some(entry), out);
         }
     }
     true
 }
 
-/// Forgets endpoints that left the list long ago.
-pub(super) fn tend(state: &mut DirectState, now: Millis) {
+/// Removes endpoints that left the list `UNLISTED_KEPT_MS` ago and have no runs of this router
+/// left.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis) {
     state
         .endpoints
-        .retain(|_, v| v.listed || v.running > 0 || now < v.beat_at + REMEMBERED_MS);
+        .retain(|_, v| v.listed || v.running > 0 || now < v.beat_at + UNLISTED_KEPT_MS);
 }
 
-fn running_at(state: &mut DirectState, request: u64) -> Option<&mut EndpointView> {
+/// The endpoint at which a request runs.
+fn run_endpoint_mut(state: &mut DirectState, request: u64) -> Option<&mut EndpointView> {
     let run = state.flights.get(&request)?.run.as_ref()?;
     state.endpoints.get_mut(&run.at)
 }
 
-fn at(state: &DirectState, request: u64) -> Option<InstanceId> {
+fn run_endpoint_id(state: &DirectState, request: u64) -> Option<InstanceId> {
     let run = state.flights.get(&request)?.run.as_ref()?;
     Some(run.at.clone())
 }
 
-/// The endpoint of a request's run has sent something.
-pub(super) fn heard(state: &mut DirectState, now: Millis, request: u64, heard: bool) {
-    let Some(view) = running_at(state, request).filter(|_| heard) else {
+/// Handles a part of the answer to a request's run. `has_output` is false if the part says
+/// that the run failed, which is no sign of the endpoint being alive.
+pub(super) fn on_output(state: &mut DirectState, now: Millis, request: u64, has_output: bool) {
+    let Some(view) = run_endpoint_mut(state, request).filter(|_| has_output) else {
         return;
     };
     let pause = now.saturating_sub(view.heard);
-    if pause >= PASS_MS {
+    if pause >= MIN_PASS_GAP_MS {
         view.pause = pause.max(view.pause - view.pause / 16);
     }
     view.heard = now;
@@ -276,19 +284,20 @@
     view.silent = None;
 }
 
-/// Time for which a run that broke off tells that its endpoint is over, where its
-/// address refuses connections by then: what is looked at later may have begun anew.
-const BROKE_MS: Millis = 3_000;
+/// Time after a broken run within which a refused connection means that the endpoint is gone.
+/// Later on the endpoint may have restarted, so that a refusal proves less.
+const BROKEN_RUN_MS: Millis = 3_000;
 
-/// A run at the endpoint of a request has broken off.
-pub(super) fn broke_off(state: &mut DirectState, now: Millis, request: u64) {
-    if let Some(view) = running_at(state, request) {
+/// The answer to a request's run broke off, or there was none.
+pub(super) fn on_run_broken(state: &mut DirectState, now: Millis, request: u64) {
+    if let Some(view) = run_endpoint_mut(state, request) {
         view.broke = now;
     }
 }
 
-/// What this router can tell of an endpoint that was looked for since `since`.
-pub(super) fn sight(
+/// This router's observation of an endpoint, from the result of a probe that was asked for
+/// at `since` and from its own runs there.
+pub(super) fn observation(
     state: &DirectState,
     now: Millis,
     id: &InstanceId,
@@ -298,7 +307,7 @@
     let view = state.endpoints.get(id);
     let spoke = view.is_some_and(|v| v.spoke > since);
     let works = view.is_some_and(|v| v.running > 0);
-    let broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKE_MS);
+    let broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKEN_RUN_MS);
     match result {
         LookResult::Replaced => Sight::Gone,
         LookResult::Alive { .. } => Sight::Alive,
@@ -310,8 +319,8 @@
     }
 }
 
-/// The endpoint has begun to answer: it has read the prompt.
-pub(super) fn begun(state: &mut DirectState, request: u64) {
+/// The endpoint has begun to answer, so it has read the prompt.
+pub(super) fn on_answer_begun(state: &mut DirectState, request: u64) {
     let Some(flight) = state.flights.get_mut(&request) else {
         return;
     };
@@ -325,9 +334,9 @@
     }
 }
 
-/// The run of a request is over, however it ended.
-pub(super) fn release(state: &mut DirectState, request: u64) {
-    begun(state, request);
+/// Releases the run of a request, however it ended.
+pub(super) fn release_run(state: &mut DirectState, request: u64) {
+    on_answer_begun(state, request);
     let Some(run) = state.flights.get_mut(&request).and_then(|f| f.run.take()) else {
         return;
     };
@@ -337,43 +346,45 @@
     }
 }
 
-/// The endpoint has served a request.
-pub(super) fn served(state: &mut DirectState, request: u64) {
-    if let Some(view) = running_at(state, request) {
+/// The endpoint has served a request: its failures in a row end.
+pub(super) fn on_served(state: &mut DirectState, request: u64) {
+    if let Some(view) = run_endpoint_mut(state, request) {
         view.failures = 0;
     }
 }
 
-/// The endpoint had no room for a request.
-pub(super) fn shed(state: &mut DirectState, now: Millis, request: u64) {
-    if let Some(view) = running_at(state, request) {
-        view.shunned = view.shunned.max(now + FULL_MS);
+/// The endpoint rejected a request because it had no room: it is backed off from for
+/// `FULL_BACKOFF_MS`, and its limit is lowered unless that was done just before.
+pub(super) fn on_overload(state: &mut DirectState, now: Millis, request: u64) {
+    if let Some(view) = run_endpoint_mut(state, request) {
+        view.shunned = view.shunned.max(now + FULL_BACKOFF_MS);
     }
-    if let Some(at) = at(state, request) {
+    if let Some(at) = run_endpoint_id(state, request) {
         limit::full(state, now, &at);
     }
 }
 
-/// A run at the endpoint has failed: it is left alone for a while.
-pub(super) fn failed(
+/// A run at the endpoint has failed: the router backs off from it, for longer with each
+/// failure in a row. A refused connection gets the shortest backoff and counts as silence.
+pub(super) fn on_run_failure(
     state: &mut DirectState,
     now: Millis,
     request: u64,
     refused: bool,
     out: &mut Vec<Effect>,
 ) {
-    let shun = state.knobs.shun_ms;
-    let Some(view) = running_at(state, request) else {
+    let base_ms = state.knobs.shun_ms;
+    let Some(view) = run_endpoint_mut(state, request) else {
         return;
     };
     view.failures += 1;
-    let times = if refused {
+    let doublings = if refused {
         1
     } else {
-        view.failures.min(DOUBLINGS) - 1
+        view.failures.min(MAX_BACKOFF_FAILURES) - 1
     };
-    let long = (shun / 4) << times;
-    view.shunned = view.shunned.max(now + long);
+    let backoff_ms = (base_ms / 4) << doublings;
+    view.shunned = view.shunned.max(now + backoff_ms);
     if refused {
         view.silent.get_or_insert(now);
     }
@@ -384,7 +395,7 @@
             .with("endpoint", &run.at)
             .with("refused", refused)
             .with("failures", failures)
-            .with("left_alone", long);
+            .with("left_alone", backoff_ms);
         out.push(Effect::Note(note));
     }
 }
--- a/src/logic/direct/entry_news.rs
+++ b/src/logic/direct/entry_news.rs
@@ -4,44 +4,43 @@
 
 use crate::types::{EndpointEntry, GroupSeat, InstanceId};
 
-/// A change of the list that decides where requests may go.
+/// An endpoint update: a change of the endpoint list that affects where requests may go.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryNews {
-    /// An endpoint is new.
+    /// An endpoint is new in the list, or has restarted.
     Listed(InstanceId, EndpointEntry),
-    /// An endpoint that was listed before begins or stops to head a group, or is about to
+    /// A listed endpoint has become or ceased to be the head of an open group, or is about to
     /// leave.
     Changed {
         /// The endpoint.
         id: InstanceId,
-        /// When its life began, in Unix milliseconds.
+        /// When it last started, in Unix milliseconds; absent if the platform doesn't tell.
         born: Option<u64>,
-        /// Heartbeats so far.
+        /// Number of heartbeats since then.
         beats: u64,
         /// Whether it is about to leave.
         leaving: bool,
-        /// Model that it holds.
+        /// Model that it has loaded.
         model: Option<Arc<str>>,
-        /// Its place in a group.
+        /// Its seat in a group.
         seat: Option<GroupSeat>,
     },
-    /// The list no longer names an endpoint.
+    /// An endpoint is no longer in the list.
     Gone(InstanceId),
 }
 
-/// Bytes that an entry takes in a datagram: a test holds an entry with long names
-/// against it.
+/// Upper bound for the encoded size of a new entry; a test checks it with long names.
 const ENTRY_BYTES: usize = 320;
 
-/// Bytes that a change takes, likewise.
+/// Upper bound for the encoded size of a change of an entry.
 const CHANGE_BYTES: usize = 210;
 
-/// Bytes that a name takes beside its frame.
+/// Upper bound for the encoded size of the id of an endpoint that is gone.
 const GONE_BYTES: usize = 64;
 
 impl EntryNews {
-    /// What others should hear of an endpoint that was listed with another entry, if
-    /// anything.
+    /// The update that other routers need when the entry of a listed endpoint changes; none
+    /// if the change doesn't affect where requests go.
     pub(super) fn of(
         id: &InstanceId,
         before: &EndpointEntry,
@@ -50,11 +49,11 @@
         if before.born != entry.born {
             return Some(EntryNews::Listed(id.clone(), entry.clone()));
         }
-        let deciding = |e: &EndpointEntry| (e.open_epoch(), e.leaving);
-        (deciding(before) != deciding(entry)).then(|| Self::changed(id, entry))
+        let routed_by = |e: &EndpointEntry| (e.open_epoch(), e.leaving);
+        (routed_by(before) != routed_by(entry)).then(|| Self::changed(id, entry))
     }
 
-    /// What decides of an entry.
+    /// The fields of an entry that affect where requests go.
     pub(super) fn changed(id: &InstanceId, entry: &EndpointEntry) -> Self {
         EntryNews::Changed {
             id: id.clone(),
@@ -66,14 +65,14 @@
         }
     }
 
-    /// The endpoint.
+    /// The endpoint's id.
     pub fn id(&self) -> &InstanceId {
         match self {
             EntryNews::Listed(id, _) | EntryNews::Changed { id, .. } | EntryNews::Gone(id) => id,
         }
     }
 
-    /// Most bytes that it takes in a datagram.
+    /// Upper bound for its encoded size, in bytes.
     pub(super) fn bytes(&self) -> usize {
         match self {
             EntryNews::Listed(..) => ENTRY_BYTES,
--- a/src/logic/direct/group_order.rs
+++ b/src/logic/direct/group_order.rs
@@ -2,19 +2,19 @@
 
 use crate::types::InstanceId;
 
-/// An order about groups to one endpoint.
+/// An order of the planner to one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupOrder {
-    /// What is to be done.
+    /// What the endpoint has to do.
     pub what: GroupStep,
-    /// Fence of the planner that gives it; only grows from planner to planner.
+    /// Fence of the planner that sends it; rises from planner to planner.
     pub fence: u64,
 }
 
-/// What an endpoint is told to do.
+/// What an order tells an endpoint to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum GroupStep {
-    /// Take a place in a group.
+    /// Join a group.
     Join {
         /// Name of the group.
         group: Arc<str>,
@@ -25,28 +25,28 @@
         /// All members, the head first.
         members: Vec<InstanceId>,
     },
-    /// Take requests; for the head.
+    /// Take requests. Sent to the head.
     Open {
         /// Name of the group.
         group: Arc<str>,
         /// Its epoch.
         epoch: u64,
     },
-    /// Take no more requests and finish what is there; for the head.
+    /// Take no more requests and finish those under way. Sent to the head.
     Close {
         /// Name of the group.
         group: Arc<str>,
         /// Its epoch.
         epoch: u64,
     },
-    /// Give the place up at once.
+    /// Leave the group at once.
     Leave {
         /// Name of the group.
         group: Arc<str>,
         /// Its epoch.
         epoch: u64,
     },
-    /// Load a model to the host.
+    /// Load a model from the weight store to the host.
     Stage {
         /// The model.
         model: Arc<str>,
--- a/src/logic/direct/list_pace.rs
+++ b/src/logic/direct/list_pace.rs
@@ -1,10 +1,10 @@
-/// How often changes of the list are read.
+/// How often the host reads changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ListPace {
-    /// Not at all: the planner tells what changes.
+    /// Not at all: digests of the planner bring the changes.
     Told,
-    /// Now and then, so that an endpoint that leaves is known in time.
+    /// At long intervals, short enough to notice in time that an endpoint leaves.
     Rest,
-    /// As often as may be.
+    /// At the shortest intervals, for the planner.
     Often,
 }
--- a/src/logic/direct/look_result.rs
+++ b/src/logic/direct/look_result.rs
@@ -1,15 +1,15 @@
 use crate::types::GroupSeat;
 
-/// What a look at an endpoint has shown.
+/// Result of a probe: an endpoint's answer to a question for its report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LookResult {
     /// It answers.
     Alive {
-        /// When its life began, in Unix milliseconds; absent where it doesn't tell.
+        /// When it last started, in Unix milliseconds; absent if it doesn't tell.
         born: Option<u64>,
-        /// Its place in a group.
+        /// Its seat in a group.
         seat: Option<GroupSeat>,
-        /// Factor on its times, in thousandths; over 1,000 it is slow.
+        /// Factor on its times, in thousandths; above 1,000 it is slow.
         pace: u64,
     },
     /// Nothing listens at its address.
--- a/src/logic/direct/model_demand.rs
+++ b/src/logic/direct/model_demand.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What callers ask of one model.
+/// Demand for one model: sums over requests, of some time or a second.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelDemand {
     /// The model.
@@ -13,13 +13,13 @@
     pub prompt: u64,
     /// Sum of the squares of prompts' tokens.
     pub square: u64,
-    /// Tokens of answers.
+    /// Expected tokens of answers.
     pub answer: u64,
-    /// Longest pauses that the requests bear, added up, in milliseconds.
+    /// Sum of the longest pauses between events that the routes allow, in milliseconds.
     pub pause: u64,
-    /// Times within which they should begin, added up, in milliseconds.
+    /// Sum of the times within which the answers should begin, in milliseconds.
     pub first: u64,
-    /// What it counts: tokens of prompts, and those of answers ten times.
+    /// Weight of the requests: tokens of prompts, and ten times those of answers.
     pub value: u64,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds another demand for the same model.
+    /// Adds other demand for the same model.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.prompt += other.prompt;
@@ -49,7 +49,7 @@
         self.value += other.value;
     }
 
-    /// The same, times a ratio.
+    /// The demand times `times / of`.
     pub fn scaled(&self, times: u64, of: u64) -> Self {
         let part = |n: u64| n * times / of.max(1);
         Self {
--- a/src/logic/direct/news_batch.rs
+++ b/src/logic/direct/news_batch.rs
@@ -1,21 +1,21 @@
 use super::EntryNews;
 use crate::types::{Millis, StorePosition};
 
-/// Changes of the list that came with one reading of it.
+/// Endpoint updates that came with one reading of the list or with one digest.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NewsBatch {
-    /// When they were read or heard of.
+    /// When they were read or received.
     pub at: Millis,
-    /// Position of the list behind which they came.
+    /// Position of the list after which they begin.
     pub before: StorePosition,
-    /// Position by which they had come.
+    /// Position of the list up to which they reach.
     pub after: StorePosition,
-    /// What has changed.
+    /// The updates, in order.
     pub news: Vec<EntryNews>,
 }
 
 impl NewsBatch {
-    /// Most bytes that its news take in a datagram.
+    /// Upper bound for the encoded size of its updates, in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.news.iter().map(EntryNews::bytes).sum()
     }
--- a/src/logic/direct/order_result.rs
+++ b/src/logic/direct/order_result.rs
@@ -1,22 +1,22 @@
-/// What came of an order to an endpoint.
+/// Outcome of an order to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OrderResult {
-    /// It has begun.
+    /// The endpoint has begun to carry it out.
     Begun,
-    /// It holds already, or is done.
+    /// It is done, or was done already.
     Done,
-    /// It doesn't fit the endpoint's state.
+    /// The endpoint can't carry it out in its current state.
     Unfit,
     /// The endpoint has seen a higher epoch or fence.
     Outdated,
-    /// The endpoint is another one, or has gone.
+    /// The endpoint is gone, or another one has its address.
     Gone,
-    /// No answer: it may have been taken, and may be carried out later.
+    /// No answer came: the endpoint may have got it and may carry it out later.
     Unanswered,
 }
 
 impl OrderResult {
-    /// Its name in the metrics.
+    /// Its label in the metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             OrderResult::Begun => "begun",
--- a/src/logic/direct/peer_message.rs
+++ b/src/logic/direct/peer_message.rs
@@ -6,51 +6,50 @@
 use super::{Digest, ModelDemand, Sight};
 use crate::types::{InstanceId, RequestRate};
 
-/// What routers with direct links say to each other, one datagram each.
+/// Messages between routers with direct links, each in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Look at an endpoint and tell what you see.
+    /// Asks the receiver to probe an endpoint and to send its observation.
     Ask {
-        /// Number of the question, echoed.
+        /// Number of the request, echoed in the reply.
         number: u64,
         /// The endpoint.
         id: InstanceId,
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// An endpoint that had work for the sender is silent; for the planner.
+    /// An endpoint that works for the sender is silent. Sent to the planner.
     Silent {
         /// The endpoint.
         id: InstanceId,
     },
-    /// The store, which was lost, answers the sender again.
+    /// The store answers the sender again after it was unreachable.
     StoreBack,
-    /// The first caller has come to the sender; for the planner.
+    /// The sender has got its first caller. Sent to the planner.
     Traffic,
-    /// What the sender and those behind it are asked for in a second; on the way to
-    /// the planner.
+    /// Demand a second of the routers in the sender's subtree. Sent to its parent in the tree.
     Demand {
-        /// Routers that are counted, the sender included.
+        /// Number of routers counted, the sender included.
         routers: u64,
         /// Their demand by model.
         models: Vec<ModelDemand>,
     },
-    /// What the planner has read, passed on by routers.
+    /// The planner's digest, which routers forward along the trees.
     Digest(Box<Digest>),
-    /// An endpoint takes so many requests a second from all routers, or as many as come.
+    /// Requests a second that an endpoint takes from all routers.
     Rate {
         /// The endpoint.
         id: InstanceId,
-        /// The limit.
+        /// The limit; none if the endpoint sets none.
         rate: Option<RequestRate>,
     },
-    /// Requests that endpoints have crashed under.
+    /// Requests during which endpoints have crashed.
     Crashes(Vec<CrashReport>),
-    /// What was seen.
+    /// The observation that was asked for.
     Seen {
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
-        /// What the sender can tell of the endpoint.
+        /// The sender's observation of the endpoint.
         sight: Sight,
     },
 }
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -1,8 +1,8 @@
-//! Other routers: where they are, and what they see of an endpoint.
+//! Other routers: their addresses, and the messages between them.
 //!
-//! A router keeps its address in the key-value service under a lease. A planner
-//! that misses a head asks a few others to look as well: it may itself be the
-//! one that is cut off.
+//! A router keeps its address in the key-value service under a lease. A planner that gets no
+//! answer from a head asks some other routers to probe it as well, as the planner itself may
+//! be the one that is cut off.
 
 use std::net::SocketAddr;
 
@@ -16,40 +16,40 @@
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis};
 
-/// Prefix of the product's own keys.
+/// Prefix of all keys that this product writes.
 pub(super) const PREFIX: &str = "runrail/";
 
-/// Prefix of routers' addresses.
-const ROUTERS: &str = "runrail/router/";
+/// Prefix of the keys of routers' addresses.
+const ROUTER_PREFIX: &str = "runrail/router/";
 
-/// Length of the lease that a router's address lies under, in seconds.
+/// Time to live of the lease of a router's address.
 const LEASE_S: u64 = 6;
 
-/// Time between two renewals.
-const RENEW_MS: Millis = 2_000;
+/// Time between two renewals of that lease.
+const RENEW_INTERVAL_MS: Millis = 2_000;
 
 /// Pause after a call that failed.
-const AGAIN_MS: Millis = 500;
+const RETRY_MS: Millis = 500;
 
-/// Time within which routers that start together know each other.
-const KNOWN_MS: Millis = 1_000;
+/// Time within which routers that start together get to know each other.
+const DISCOVERY_MS: Millis = 1_000;
 
 /// State of a router's own address in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Presence {
-    /// Lease that the address lies under.
+    /// Lease of the address, once granted.
     pub lease: Option<i64>,
-    /// Whether it was written under that lease.
+    /// Whether the address was written under that lease.
     pub written: bool,
-    /// When something is done about it next.
+    /// When the next call may be sent.
     pub next_at: Millis,
-    /// The call that is under way.
+    /// The call that awaits its reply.
     pub call: Option<CallId>,
 }
 
-/// Looks after the own address.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    count(state, now);
+/// Writes the own address and renews its lease.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    record_routers(state, now);
     let presence = &state.presence;
     let (Some(addr), None) = (state.addr, presence.call) else {
         return;
@@ -62,7 +62,7 @@
         (Some(lease), false) => StoreCall::Swap {
             checks: Vec::new(),
             puts: vec![Put {
-                key: format!("{ROUTERS}{}", state.me),
+                key: format!("{ROUTER_PREFIX}{}", state.me),
                 value: addr.to_string(),
                 lease: Some(lease),
             }],
@@ -75,8 +75,8 @@
     state.presence.call = Some(call);
 }
 
-/// A call about the own address has been answered.
-pub(super) fn answered(state: &mut DirectState, now: Millis, result: &StoreResult) {
+/// Handles the store's reply to a call about the own address.
+pub(super) fn on_store_reply(state: &mut DirectState, now: Millis, result: &StoreResult) {
     let presence = &mut state.presence;
     presence.call = None;
     match result {
@@ -84,15 +84,19 @@
         Ok(StoreReply::Lease { lease, .. }) => {
             let renewed = presence.written;
             presence.lease = Some(*lease);
-            presence.next_at = if renewed { now + RENEW_MS } else { now };
+            presence.next_at = if renewed {
+                now + RENEW_INTERVAL_MS
+            } else {
+                now
+            };
         }
         Ok(StoreReply::Swapped { done: true, .. }) => {
             presence.written = true;
-            presence.next_at = now + RENEW_MS;
+            presence.next_at = now + RENEW_INTERVAL_MS;
         }
         _ => {
             let lost = !presence.written;
-            presence.next_at = now + AGAIN_MS;
+            presence.next_at = now + RETRY_MS;
             if lost {
                 presence.lease = None;
             }
@@ -100,42 +104,44 @@
     }
 }
 
-/// The own keys were read whole.
-pub(super) fn read(state: &mut DirectState, now: Millis, entries: &[StoreEntry]) {
-    state.retries_from.get_or_insert(now + unproven(state));
+/// Handles a complete reading of the keys under `PREFIX`.
+pub(super) fn on_keys_read(state: &mut DirectState, now: Millis, entries: &[StoreEntry]) {
+    state
+        .retries_from
+        .get_or_insert(now + retry_delay_ms(state));
     state.peers.clear();
     for entry in entries {
-        learn(state, &entry.key, Some(&entry.value));
+        apply_key(state, &entry.key, Some(&entry.value));
     }
 }
 
-/// Remembers how many routers are known, this one included.
-pub(super) fn count(state: &mut DirectState, now: Millis) {
+/// Records how many routers are known, this one included.
+pub(super) fn record_routers(state: &mut DirectState, now: Millis) {
     let routers = state.peers.len() as u64 + 1;
     let window = state.knobs.retry_window;
     state.routers.record(now, window, routers);
 }
 
-/// Time from the first reading of the routers until this one sends retries. An earlier life
-/// of the process may have spent all that a window allows, by requests that came before it;
-/// at the first start of the system there was none.
-fn unproven(state: &DirectState) -> Millis {
+/// Time from the first reading of the routers until this one sends retries. Before a restart
+/// this process may have used up the budget of a whole window, which isn't the case at the
+/// first start of the system.
+fn retry_delay_ms(state: &DirectState) -> Millis {
     if state.plan.first {
-        KNOWN_MS
+        DISCOVERY_MS
     } else {
         state.knobs.retry_window
     }
 }
 
-/// Own keys have changed.
-pub(super) fn changed(state: &mut DirectState, changes: &[StoreChange]) {
+/// Handles changes of keys under `PREFIX`.
+pub(super) fn on_watch_changes(state: &mut DirectState, changes: &[StoreChange]) {
     for change in changes {
-        learn(state, &change.key, change.value.as_deref());
+        apply_key(state, &change.key, change.value.as_deref());
     }
 }
 
-fn learn(state: &mut DirectState, key: &str, value: Option<&str>) {
-    let Some(id) = key.strip_prefix(ROUTERS).map(InstanceId::new) else {
+fn apply_key(state: &mut DirectState, key: &str, value: Option<&str>) {
+    let Some(id) = key.strip_prefix(ROUTER_PREFIX).map(InstanceId::new) else {
         return;
     };
     let addr = value.and_then(|v| v.parse().ok());
@@ -145,8 +151,8 @@
     };
 }
 
-/// Asks some other routers to look at an endpoint; returns the questions' numbers.
-pub(super) fn ask(
+/// Asks up to `most` other routers to probe an endpoint; returns the numbers of these requests.
+pub(super) fn send_probe_requests(
     state: &mut DirectState,
     id: &InstanceId,
     most: usize,
@@ -156,7 +162,7 @@
         return Vec::new();
     };
     let mut numbers = Vec::new();
-    for to in some(state, most) {
+    for to in pick_peers(state, most) {
         let number = state.number();
         let message = PeerMessage::Ask {
             number,
@@ -169,20 +175,20 @@
     numbers
 }
 
-/// Routers that one tells that the store is back. Each that finds it so tells as many in
-/// turn: with three, all of 400 know after six steps, and none sends more.
-const TOLD_BACK: usize = 3;
+/// Number of routers that a router notifies once its store answers again. Each of them that
+/// finds the same notifies as many: with 3, all of 400 know after six steps.
+const STORE_BACK_FANOUT: usize = 3;
 
-/// The store answers again: some other routers are told, each of which tries it itself.
-pub(super) fn store_back(state: &mut DirectState, out: &mut Vec<Effect>) {
-    for to in some(state, TOLD_BACK) {
+/// Notifies some other routers that the store answers again; each of them tries it itself.
+pub(super) fn notify_store_back(state: &mut DirectState, out: &mut Vec<Effect>) {
+    for to in pick_peers(state, STORE_BACK_FANOUT) {
         let message = PeerMessage::StoreBack;
         out.push(Effect::Direct(DirectEffect::Tell { to, message }));
     }
 }
 
-/// Some other routers, drawn at random.
-fn some(state: &mut DirectState, most: usize) -> Vec<SocketAddr> {
+/// Up to `most` other routers, drawn at random.
+fn pick_peers(state: &mut DirectState, most: usize) -> Vec<SocketAddr> {
     let mut peers: Vec<SocketAddr> = state.peers.values().copied().collect();
     let mut drawn = Vec::new();
     while !peers.is_empty() && drawn.len() < most {
@@ -192,8 +198,8 @@
     drawn
 }
 
-/// Another router has said something.
-pub(super) fn said(
+/// Handles a message from another router.
+pub(super) fn on_message(
     state: &mut DirectState,
     now: Millis,
     from: SocketAddr,
@@ -210,9 +216,9 @@
             state.asked.entry(id.clone()).or_default().push(asked);
             out.push(Effect::Direct(DirectEffect::Look { id, addr }));
         }
-        PeerMessage::Digest(digest) => digests::received(state, now, *digest, out),
+        PeerMessage::Digest(digest) => digests::on_digest(state, now, *digest, out),
         PeerMessage::Demand { routers, models } => {
-            demand::told(state, now, from, routers, models);
+            demand::on_report(state, now, from, routers, models);
         }
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
@@ -223,26 +229,26 @@
     }
 }
 
-/// Tells the planner that an endpoint is silent here.
-pub(super) fn warn(state: &DirectState, id: &InstanceId, out: &mut Vec<Effect>) {
-    tell_planner(state, PeerMessage::Silent { id: id.clone() }, out);
+/// Notifies the planner that an endpoint is silent here.
+pub(super) fn notify_silence(state: &DirectState, id: &InstanceId, out: &mut Vec<Effect>) {
+    notify_planner(state, PeerMessage::Silent { id: id.clone() }, out);
 }
 
-/// Tells the planner that the first caller has come.
-pub(super) fn traffic(state: &DirectState, out: &mut Vec<Effect>) {
-    tell_planner(state, PeerMessage::Traffic, out);
+/// Notifies the planner of the first caller.
+pub(super) fn notify_traffic(state: &DirectState, out: &mut Vec<Effect>) {
+    notify_planner(state, PeerMessage::Traffic, out);
 }
 
-/// Says something to the router that plans, where it is another one.
-fn tell_planner(state: &DirectState, message: PeerMessage, out: &mut Vec<Effect>) {
+/// Sends a message to the planner, if that is another router whose address is known.
+fn notify_planner(state: &DirectState, message: PeerMessage, out: &mut Vec<Effect>) {
     let holder = state.plan.duty.holder.as_deref().map(InstanceId::new);
     if let Some(to) = holder.and_then(|h| state.peers.get(&h)).copied() {
         out.push(Effect::Direct(DirectEffect::Tell { to, message }));
     }
 }
 
-/// An endpoint was looked at: tells those that have asked.
-pub(super) fn looked(
+/// Sends this router's observation of a probed endpoint to the routers that asked for it.
+pub(super) fn on_probe_result(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -252,7 +258,7 @@
     for asked in state.asked.remove(id).unwrap_or_default() {
         let message = PeerMessage::Seen {
             number: asked.number,
-            sight: endpoints::sight(state, now, id, result, asked.at),
+            sight: endpoints::observation(state, now, id, result, asked.at),
         };
         let to = asked.from;
         out.push(Effect::Direct(DirectEffect::Tell { to, message }));
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -201,7 +201,7 @@
     };
     state.plan.duty.call = None;
     if let (DutyCall::Read, Ok(StoreReply::Entries { entries, .. })) = (what, &result) {
-        peers::read(state, now, entries);
+        peers::on_keys_read(state, now, entries);
         crashes::read(state, now, entries, out);
     }
     let pause = jitter(state);
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -185,7 +185,7 @@
                 .seats
                 .insert(id.clone(), (seat, forming.model.clone()));
             if rank == 0 {
-                digests::opened(state, now, id);
+                digests::on_head_opened(state, now, id);
             }
         }
     }
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -135,8 +135,8 @@
         return;
     }
     let since = state.plan.looks.get(id).map_or(now, |l| l.since);
-    endpoints::reported(state, now, id, &result, out);
-    let sight = endpoints::sight(state, now, id, &result, since);
+    endpoints::on_probe_result(state, now, id, &result, out);
+    let sight = endpoints::observation(state, now, id, &result, since);
     let look = state.plan.looks.entry(id.clone()).or_default();
     look.pending = false;
     look.own = Some(sight);
@@ -186,7 +186,7 @@
     if !head || !due {
         return;
     }
-    let asked = peers::ask(state, id, ASKED, out);
+    let asked = peers::send_probe_requests(state, id, ASKED, out);
     if let Some(look) = state.plan.looks.get_mut(id) {
         look.asked = asked;
         look.asked_at = now;
--- a/src/logic/direct/plan/trade.rs
+++ b/src/logic/direct/plan/trade.rs
@@ -81,7 +81,7 @@
 
 /// Whether trades are weighed at all: not before demand is known.
 fn may_trade(state: &DirectState, now: Millis) -> bool {
-    let known = demand::known(state, now) || !state.knobs.on(Mechanism::Demand);
+    let known = demand::is_known(state, now) || !state.knobs.on(Mechanism::Demand);
     known && state.knobs.on(Mechanism::Trades)
 }
 
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -93,14 +93,14 @@
 /// What each model of a service needs: by what callers ask for, and by the published
 /// shares of all instances until that is known.
 pub(super) fn needs(state: &DirectState, now: Millis, engine: &EngineSpec) -> Vec<ModelNeed> {
-    let demand = demand::all(state, now);
+    let demand = demand::estimated_demand(state, now);
     let value: u64 = engine
         .models
         .iter()
         .filter_map(|m| demand.get(&m.name))
         .map(|d| d.value)
         .sum();
-    let known = demand::known(state, now);
+    let known = demand::is_known(state, now);
     if value == 0 || !known || !state.knobs.on(Mechanism::Demand) {
         return published(state, engine);
     }
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -152,7 +152,7 @@
 
 /// Whether the budget pays for a retry.
 fn pays(state: &mut DirectState, now: Millis, service: &std::sync::Arc<str>) -> bool {
-    peers::count(state, now);
+    peers::record_routers(state, now);
     let terms = RetryTerms::new(&state.knobs, state.routers.highest());
     let window = state.retries.entry(service.clone()).or_default();
     let proven = state.retries_from.is_some_and(|from| now >= from);
--- a/src/logic/direct/sight.rs
+++ b/src/logic/direct/sight.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// What one router can tell of an endpoint that is missed.
+/// A router's observation of an endpoint that may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Sight {
-    /// It answers, has sent something since it was looked for, or refuses new
-    /// connections while it still works on what this router sent it before.
+    /// It answers, has sent something since the probe was asked for, or refuses new
+    /// connections while it still works on runs of this router.
     Alive,
-    /// Nothing came from it in time.
+    /// It sent nothing in time.
     Silent,
-    /// Its address refuses connections and nothing more is known: it may have died,
-    /// or it may have stopped listening and be finishing what other routers sent.
+    /// Its address refuses connections and nothing more is known: it may have crashed, or it
+    /// may have stopped listening while it finishes the runs of other routers.
     Refuses,
-    /// It is over: its address refuses connections and what ran there has just
-    /// broken off, or another endpoint has its address.
+    /// It is gone: its address refuses connections and a run there has just broken off, or
+    /// another endpoint has its address.
     Gone,
 }
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -66,7 +66,7 @@
         if state.plan.duty.holds(now) {
             plan::suspect(state, now, &id, out);
         } else {
-            peers::warn(state, &id, out);
+            peers::notify_silence(state, &id, out);
         }
     }
     if !state.knobs.on(Mechanism::Silence) {
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -15,37 +15,42 @@
     }
     pause::notice(state, now, out);
     match event {
-        Event::Stop => stop(state, now),
+        Event::Stop => on_stop(state, now),
         Event::Store { call, result } if state.presence.call == Some(call) => {
-            peers::answered(state, now, &result);
+            peers::on_store_reply(state, now, &result);
         }
         Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
             crashes::answered(state, now, &result);
         }
         Event::Store { call, result } => plan::answered(state, now, call, result, out),
         Event::Watch(changes) => {
-            peers::changed(state, &changes);
+            peers::on_watch_changes(state, &changes);
             crashes::changed(state, now, &changes, out);
             plan::changed(state, now, &changes);
         }
         Event::WatchLost => plan::unwatched(state),
-        Event::Direct(event) => direct(state, now, event, out),
-        Event::Tick => tend(state, now, out),
+        Event::Direct(event) => on_direct_event(state, now, event, out),
+        Event::Tick => on_tick(state, now, out),
         _ => {}
     }
     queue::take_up(state, now, out);
     queue::serve(state, now, out);
-    tell_ready(state, out);
-    digests::tend(state, now, out);
+    notify_readiness(state, out);
+    digests::on_tick(state, now, out);
 }
 
-fn direct(state: &mut DirectState, now: Millis, event: DirectEvent, out: &mut Vec<Effect>) {
+fn on_direct_event(
+    state: &mut DirectState,
+    now: Millis,
+    event: DirectEvent,
+    out: &mut Vec<Effect>,
+) {
     match event {
         DirectEvent::Routing(routing) => {
             state.digests.routing_at = state.drained_at;
-            routed(state, routing, out);
+            on_routing(state, routing, out);
         }
-        DirectEvent::StoreBack => peers::store_back(state, out),
+        DirectEvent::StoreBack => peers::notify_store_back(state, out),
         DirectEvent::RoutingRead => state.digests.routing_at = state.drained_at,
         DirectEvent::RoutingChecked { asked } => pause::checked(state, asked),
         DirectEvent::StoreEra(era) => store::entered(state, now, era, out),
@@ -58,34 +63,34 @@
                 at
             };
             state.listed_at = state.listed_at.max(at);
-            endpoints::listed(state, now, entries, out);
+            endpoints::on_list_read(state, now, entries, out);
             state.digests.skipped = false;
-            digests::list_read(state, now, before, at);
+            digests::on_list_read(state, now, before, at);
         }
         DirectEvent::Changes { at, changes } => {
             let before = state.listed_at;
             state.listed_at = before.max(at);
             for (id, entry) in changes {
-                endpoints::changed(state, now, id, entry, out);
+                endpoints::on_entry_change(state, now, id, entry, out);
             }
-            digests::list_read(state, now, before, at);
+            digests::on_list_read(state, now, before, at);
         }
         DirectEvent::Request(request) => accept::arrived(state, now, *request, out),
         DirectEvent::Gone(id) => end::caller_gone(state, id, out),
         DirectEvent::Part { run, part } => answer::part(state, now, run, part, out),
         DirectEvent::Rated { id, run, rate } => rates::named(state, now, &id, run, rate, out),
         DirectEvent::Looked { id, result } => {
-            peers::looked(state, now, &id, &result, out);
+            peers::on_probe_result(state, now, &id, &result, out);
             crashes::looked(state, now, &id, &result, out);
             plan::looked(state, now, &id, result, out);
         }
-        DirectEvent::Peer { from, message } => peers::said(state, now, from, message, out),
+        DirectEvent::Peer { from, message } => peers::on_message(state, now, from, message, out),
         DirectEvent::Ordered { order, result } => plan::ordered(state, now, order, result, out),
     }
 }
 
 /// Takes up a version of the routing; an older one changes nothing.
-fn routed(state: &mut DirectState, routing: Arc<Routing>, out: &mut Vec<Effect>) {
+fn on_routing(state: &mut DirectState, routing: Arc<Routing>, out: &mut Vec<Effect>) {
     let known = state.routing.as_ref().map_or(0, |r| r.version);
     if state.routing.is_some() && routing.version < known {
         let note = Note::new(NoteCode::RoutingOlder)
@@ -112,24 +117,24 @@
     state.routing = Some(routing);
 }
 
-fn stop(state: &mut DirectState, now: Millis) {
+fn on_stop(state: &mut DirectState, now: Millis) {
     state.stopping.get_or_insert(now);
 }
 
-fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     state.drained_at = state.ticked_at;
     state.ticked_at = now;
     pause::tend(state, now, out);
     end::tend(state, now, out);
     queue::tend(state, now, out);
     silence::tend(state, now, out);
-    endpoints::tend(state, now);
+    endpoints::on_tick(state, now);
     rates::tend(state, now, out);
-    peers::tend(state, now, out);
+    peers::on_tick(state, now, out);
     crashes::tend(state, now, out);
-    demand::tend(state, now, out);
+    demand::on_tick(state, now, out);
     plan::tend(state, now, out);
-    wind_up(state, now, out);
+    advance_shutdown(state, now, out);
 }
 
 /// Parts of the time to stop, in sixteenths, until no more callers are taken:
@@ -140,7 +145,7 @@
 const LAST: Millis = 15;
 
 /// Takes an orderly stop further: no more callers, then no more waiting.
-fn wind_up(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+fn advance_shutdown(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let Some(since) = state.stopping else {
         return;
     };
@@ -159,7 +164,7 @@
     }
 }
 
-fn tell_ready(state: &mut DirectState, out: &mut Vec<Effect>) {
+fn notify_readiness(state: &mut DirectState, out: &mut Vec<Effect>) {
     let ready = state.routing.is_some() && state.listed && state.stopping.is_none();
     if ready != state.ready {
         state.ready = ready;
--- a/src/logic/direct/tree.rs
+++ b/src/logic/direct/tree.rs
@@ -1,9 +1,9 @@
-//! Which router passes a digest on to which others.
+//! The trees along which routers forward digests and report their demand.
 //!
-//! All routers but the one that plans stand in an order that each of them works out from
-//! the names it knows; the planner stands before them. Each passes on to the next
-//! `FAN_OUT` behind it, so that nobody sends more however many there are. The order of
-//! two routers never depends on who else is known, so a digest can't go in a circle.
+//! Each router sorts all routers that it knows by a hash of their ids, with the planner first
+//! as the root. The children of the router at index `n` are the `FAN_OUT` ones from index
+//! `n * FAN_OUT + 1` on, so that no router sends more however many there are. The order of
+//! two routers doesn't depend on which others are known, so a digest can't go in a circle.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,15 @@
 use super::DirectState;
 use crate::types::InstanceId;
 
-/// Routers that one router passes a digest on to. Three steps reach 584 routers; with 8
-/// digests a second and two trees that is at most 130 datagrams a second.
+/// Children of a router in a tree. Three steps reach 584 routers; with 8 digests a second and
+/// two trees a router sends at most 130 datagrams a second.
 const FAN_OUT: usize = 8;
 
-/// Trees along which each digest goes, so that one lost router or datagram cuts few off.
+/// Number of trees along which each digest is sent, so that a failed router or a lost datagram
+/// cuts off few routers.
 pub(super) const TREES: u8 = 2;
 
-/// Place of a router in a tree; the lowest is nearest to the root.
+/// Sort key of a router in a tree; the lowest is nearest to the root.
 fn rank(root: &InstanceId, tree: u8, id: &InstanceId) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update([tree]);
@@ -29,8 +30,8 @@
     hash.finalize().into()
 }
 
-/// Addresses of all routers in the order of a tree, the root first, and the own place.
-/// The own address may be unknown here and is never asked for.
+/// Addresses of all routers in the order of a tree, the root first, and this router's index.
+/// Its own address is left empty, as it is never needed.
 fn order(state: &DirectState, root: &InstanceId, tree: u8) -> (Vec<Option<SocketAddr>>, usize) {
     let others = state.peers.iter().map(|(id, addr)| (id, Some(*addr)));
     let all = others.chain([(&state.me, None)]);
@@ -48,7 +49,7 @@
     )
 }
 
-/// Routers that this one passes on to in a tree.
+/// Addresses of this router's children in a tree.
 pub(super) fn children(state: &DirectState, root: &InstanceId, tree: u8) -> Vec<SocketAddr> {
     let (order, place) = order(state, root, tree);
     let first = place * FAN_OUT + 1;
@@ -56,8 +57,8 @@
     below.flatten().collect()
 }
 
-/// The router that this one reports to, on the way to the root; none where it is the
-/// root or doesn't know where that is.
+/// Address of this router's parent in the first tree; none if it is the root itself or the
+/// parent's address is unknown.
 pub(super) fn parent(state: &DirectState, root: &InstanceId) -> Option<SocketAddr> {
     let (order, place) = order(state, root, 0);
     let above = place.checked_sub(1)? / FAN_OUT;
