--- a/src/logic/direct/direct_effect.rs
+++ b/src/logic/direct/direct_effect.rs
@@ -5,55 +5,55 @@
 use super::{GroupOrder, ListPace, PeerMessage, Problem, RunRequest};
 use crate::types::{InstanceId, StorePosition};
 
-/// What the host of a router with direct links has to do.
+/// An action that the host of a router with direct links has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum DirectEffect {
     /// Send a request to an endpoint.
     Run(Box<RunRequest>),
-    /// Close the connection of a run; its answer is no longer wanted.
+    /// Close the connection of a run, whose answer is no longer needed.
     Cancel(u64),
-    /// Give the caller the head of a run's stream.
+    /// Forward the response head of a run's stream to the caller.
     PassHead {
         /// The request.
         request: u64,
         /// The run.
         run: u64,
     },
-    /// Give the caller a run's answer, which has arrived whole.
+    /// Forward a run's complete answer to the caller.
     PassWhole {
         /// The request.
         request: u64,
         /// The run.
         run: u64,
     },
-    /// Give the caller events of a stream.
+    /// Forward events of a stream to the caller.
     Piece {
         /// The request.
         request: u64,
-        /// Whole events, as the endpoint sent them.
+        /// Complete events, as the endpoint sent them.
         bytes: Bytes,
     },
     /// End the caller's stream: it is complete.
     Finish(u64),
-    /// Break the caller's stream off: it is not complete.
+    /// Abort the caller's stream, which is not complete.
     Cut(u64),
-    /// Give the caller a final answer of the router's own.
+    /// Send the caller an error response of the router's own.
     Refuse {
         /// The request.
         request: u64,
-        /// Why.
+        /// The reason.
         problem: Problem,
     },
-    /// Ask an endpoint for its report.
+    /// Probe an endpoint: ask it for its report.
     Look {
         /// The endpoint.
         id: InstanceId,
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// Give an endpoint an order.
+    /// Send an order to an endpoint.
     Order {
-        /// Number echoed with the outcome.
+        /// Number of the order, echoed with its outcome.
         order: u64,
         /// The endpoint.
         id: InstanceId,
@@ -62,34 +62,34 @@
         /// The order.
         body: GroupOrder,
     },
-    /// Say something to another router; it may be lost.
+    /// Send a message to another router, which may be lost.
     Tell {
         /// Where that router listens.
         to: SocketAddr,
-        /// What is said.
+        /// The message.
         message: PeerMessage,
     },
-    /// Read the routing now, whatever holds that back; the number is echoed.
+    /// Read the routing now, even while reading it is suspended.
     ReadRouting {
-        /// Number of the reading.
+        /// Number of the reading, echoed with its end.
         asked: u64,
     },
-    /// Read the list whole: its changes lag.
+    /// Read the complete endpoint list, as its changes lag behind.
     ReadList,
-    /// Try the store again, where it is lost: it has come back to another router.
+    /// If the store is unreachable, try it again now: it has answered another router.
     TryStore,
-    /// How the store is read from now on.
+    /// Change how the store is read from now on.
     Read {
-        /// How often the list's changes are read.
+        /// How often changes of the list are read.
         list: ListPace,
-        /// Whether the routing is left alone, as the planner tells of a new one.
+        /// Whether reading the routing is suspended, as digests tell of a new version.
         hold: bool,
-        /// Position of the list up to which the planner has told what decides: where
-        /// reading was left to it, it goes on from there.
+        /// Position of the list up to which all changes that affect routing are known. After
+        /// a pause with `ListPace::Told`, reading goes on from there.
         upto: StorePosition,
     },
-    /// Take no more connections, and close those that rest.
+    /// Stop accepting callers' connections and close idle ones.
     CloseDoors,
-    /// Tell the balancer whether to send callers here.
+    /// Report to the balancer whether this router is ready for callers.
     Ready(bool),
 }
--- a/src/logic/direct/direct_event.rs
+++ b/src/logic/direct/direct_event.rs
@@ -4,80 +4,79 @@
 use super::{DirectRequest, LookResult, OrderResult, PeerMessage, RunPart};
 use crate::types::{EndpointEntry, InstanceId, RequestRate, Routing, StorePosition};
 
-/// What a router with direct links reacts to, beside time and the store.
+/// An event for a router with direct links, beside ticks and replies of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum DirectEvent {
-    /// A version of the routing has been read.
+    /// A version of the routing was read.
     Routing(Arc<Routing>),
-    /// The store answers again after it was lost.
+    /// The store answers again after it was unreachable.
     StoreBack,
-    /// The store's era has been read for the first time, or has risen: it has come back
-    /// from an older copy.
+    /// The store's era was read for the first time, or has risen because the store was
+    /// restored from a backup.
     StoreEra(u64),
-    /// The store was asked for a new version of the routing; any there was has been
-    /// told before.
+    /// The store was asked for a new version of the routing. If there was one, its `Routing`
+    /// event came before.
     RoutingRead,
-    /// The routing was read by a call that began after this reading was asked for; any new
-    /// version has been told before.
+    /// The routing was read by a call that began after `ReadRouting` asked for it. If there was
+    /// a new version, its `Routing` event came before.
     RoutingChecked {
-        /// Number of the reading.
+        /// Number of the reading, from `ReadRouting`.
         asked: u64,
     },
-    /// The list of endpoints was read whole; what isn't named is gone.
+    /// The complete endpoint list was read; endpoints that it lacks are gone.
     List {
-        /// The store's position when the reading began.
+        /// Position of the store when the reading began.
         at: StorePosition,
         /// Every entry.
         entries: Vec<(InstanceId, EndpointEntry)>,
     },
-    /// Entries of the list have changed; an absent entry is gone. There may be
-    /// none, up to this revision.
+    /// Changes of the list up to a position; there may be none.
     Changes {
-        /// The store's position that the changes go up to.
+        /// Position of the store up to which the changes reach.
         at: StorePosition,
-        /// What has changed, in order.
+        /// The changes in order; `None` for a removed entry.
         changes: Vec<(InstanceId, Option<EndpointEntry>)>,
     },
     /// A caller has sent a request.
     Request(Box<DirectRequest>),
-    /// A caller has hung up.
+    /// A caller has closed its connection; names its request.
     Gone(u64),
-    /// Part of an endpoint's answer to a run.
+    /// A part of an endpoint's answer to a run.
     Part {
-        /// Which run.
+        /// The run.
         run: u64,
         /// The part.
         part: RunPart,
     },
-    /// An answer of an endpoint names how many requests a second it takes from all
-    /// routers, or that it takes as many as come. Comes before what the answer says.
+    /// An answer of an endpoint carries its rate limit, or says that there is none. Comes before
+    /// the event for the answer itself.
     Rated {
-        /// Which endpoint.
+        /// The endpoint.
         id: InstanceId,
-        /// The run that it answers, where it is one.
+        /// The run that it answers, if it is the answer to a run.
         run: Option<u64>,
-        /// The limit.
+        /// Requests a second that the endpoint takes from all routers.
         rate: Option<RequestRate>,
     },
-    /// An endpoint was looked at.
+    /// The result of a probe.
     Looked {
-        /// Which endpoint.
+        /// The endpoint.
         id: InstanceId,
-        /// What was seen.
+        /// The result.
         result: LookResult,
     },
-    /// Another router has said something.
+    /// A message from another router.
     Peer {
-        /// Where from.
+        /// Its sender.
         from: SocketAddr,
-        /// What it said.
+        /// The message.
         message: PeerMessage,
     },
     /// An order to an endpoint has ended.
     Ordered {
-        /// Which order.
+        /// Number of the order.
         order: u64,
-        /// What came of it.
+        /// Its outcome.
         result: OrderResult,
     },
 }
--- a/src/logic/direct/direct_knobs.rs
+++ b/src/logic/direct/direct_knobs.rs
@@ -3,37 +3,37 @@
 use super::Mechanism;
 use crate::types::Millis;
 
-/// Numbers that a router with direct links decides by.
+/// Parameters of a router with direct links.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DirectKnobs {
-    /// Length of the planner's lease.
+    /// Shortest length of the planner lease; it is longer for large fleets.
     pub lease_ms: Millis,
-    /// Time between two looks of the planner at its fleet.
+    /// Shortest time between two planning passes; it is longer for large fleets.
     pub plan_ms: Millis,
-    /// Shortest silence of a working head that is taken for a loss.
+    /// Shortest silence after which a head that has work counts as silent.
     pub silence_ms: Millis,
-    /// Time that an endpoint gets nothing after a failure.
+    /// Longest backoff from an endpoint after failures in a row; the first is a quarter of it.
     pub shun_ms: Millis,
-    /// Time after which an order without effect is given again.
+    /// Time after which an order that had no effect is sent again.
     pub order_ms: Millis,
-    /// Time that a group stands still before it counts as broken.
+    /// Time that a group makes no progress before it counts as broken.
     pub stall_ms: Millis,
-    /// Retries per thousand requests, over all routers.
+    /// Retries per thousand requests.
     pub retry_ratio: u64,
-    /// Retries that all routers together may make beside those, in thousandths.
+    /// Retries that all routers together may make beyond those, in thousandths.
     pub retry_extra: u64,
-    /// Span over which retries are counted.
+    /// Length of the window over which requests and retries are counted, in milliseconds.
     pub retry_window: Millis,
-    /// Time from the order to stop until the process must have ended.
+    /// Time from the order to shut down until the process must have ended.
     pub grace_ms: Millis,
-    /// Shortest time after which a caller is asked to come back.
+    /// Usual shortest time after which a refused caller is told to come back.
     pub again_ms: Millis,
-    /// Mechanisms that are switched off, to measure what they are worth.
+    /// Mechanisms that are switched off, to measure their effect.
     pub off: BTreeSet<Mechanism>,
 }
 
 impl DirectKnobs {
-    /// Whether a mechanism works.
+    /// Whether a mechanism is switched on.
     pub(crate) fn on(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
--- a/src/logic/direct/direct_state.rs
+++ b/src/logic/direct/direct_state.rs
@@ -12,83 +12,83 @@
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, Routing, StorePosition};
 
-/// Whole state of a router that reaches endpoints by direct links.
+/// Complete state of a router that reaches endpoints by direct links.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DirectState {
-    /// Numbers it decides by.
+    /// Parameters of its decisions.
     pub knobs: DirectKnobs,
-    /// Own instance.
+    /// This router's instance.
     pub me: InstanceId,
-    /// When this life of the process began: its first event.
+    /// When this process handled its first event.
     pub started: Option<Millis>,
-    /// Where other routers reach this one.
+    /// Address at which other routers reach this one.
     pub addr: Option<SocketAddr>,
-    /// Own data hall.
+    /// This router's data hall.
     pub hall: Arc<str>,
-    /// State of the random numbers.
+    /// State of the random number generator.
     pub seed: u64,
     /// When the last tick came.
     pub ticked_at: Millis,
-    /// When the tick before it came: what was sent to this process by then has been handled.
+    /// When the tick before it came: everything sent to this process by then has been handled.
     pub drained_at: Millis,
-    /// Reading of the routing after a pause of the process.
+    /// Reading of the routing that requests wait for after a pause of the process.
     pub pause: PauseState,
     /// Routing in force.
     pub routing: Option<Arc<Routing>>,
-    /// Whether the list was read since the start.
+    /// Whether a complete reading of the endpoint list has arrived.
     pub listed: bool,
-    /// Whether all of a list has been taken in.
+    /// Whether the first complete reading has been applied: later changes are updates.
     pub listed_once: bool,
-    /// How often the store has come back from a copy; none before its first answer.
+    /// How often the store was restored from a backup; none before its first answer.
     pub store_era: Option<u64>,
-    /// The store's position that the list is known up to.
+    /// Position of the store up to which the list is known.
     pub listed_at: StorePosition,
-    /// What the planner tells of the store.
+    /// State of digests, sent and received.
     pub digests: DigestState,
     /// Endpoints by id.
     pub endpoints: BTreeMap<InstanceId, EndpointView>,
-    /// Requests without a final answer.
+    /// In-flight requests: those without a final answer.
     pub flights: BTreeMap<u64, Flight>,
-    /// Requests that wait for an endpoint.
+    /// Wait queues of requests for an endpoint.
     pub lines: BTreeMap<LineKey, Line>,
-    /// Requests that came before this router knew where anything is, and when.
+    /// Requests held until the routing and the list are known, with their arrival.
     pub early: Vec<(Millis, DirectRequest)>,
-    /// What callers ask for.
+    /// Demand of callers.
     pub demand: Demand,
-    /// Which request a run belongs to.
+    /// Requests by the number of their run.
     pub runs: BTreeMap<u64, u64>,
-    /// Number of the next run, order or call.
+    /// Last number given to a run, an order, a call or a probe request.
     pub next: u64,
     /// Retries and requests by service.
     pub retries: BTreeMap<Arc<str>, RetryWindow>,
-    /// Retries that the budget has paid for, in this life of the process.
+    /// Retries that the retry budget allowed, since this process started.
     pub retries_paid: u64,
-    /// Retries that it had no room for, likewise.
+    /// Retries that it didn't allow, since this process started.
     pub retries_unpaid: u64,
-    /// Own address in the key-value service.
+    /// State of this router's address in the key-value service.
     pub presence: Presence,
-    /// Other routers.
+    /// Addresses of the other routers.
     pub peers: BTreeMap<InstanceId, SocketAddr>,
     /// From when this router sends retries; never before the other routers are known.
     pub retries_from: Option<Millis>,
-    /// Routers known within the retry window, this one included.
+    /// Most routers known at a time within the retry window, this one included.
     pub routers: RecentPeak,
-    /// Who wants to know what is seen of an endpoint.
+    /// Probe requests of other routers that await a reply, by endpoint.
     pub asked: BTreeMap<InstanceId, Vec<Asked>>,
-    /// Requests that crash endpoints.
+    /// State of the detection of requests that crash endpoints.
     pub crashes: CrashState,
-    /// The planner's duty.
+    /// State of the planner, its lease included.
     pub plan: PlanState,
-    /// What the balancer was told.
+    /// Readiness last reported to the balancer.
     pub ready: bool,
-    /// When the order to stop came.
+    /// When this process was told to shut down.
     pub stopping: Option<Millis>,
-    /// How far the end has come.
+    /// Stage of the shutdown.
     pub ending: EndStage,
 }
 
 impl DirectState {
-    /// State of a router that starts now.
+    /// Initial state of a router.
     pub fn new(me: InstanceId, hall: &str, seed: u64, knobs: DirectKnobs) -> Self {
         Self {
             knobs,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Figures of this router by name, for its metrics address.
+    /// Metrics of this router by name, for its metrics address.
     pub fn figures(&self, now: Millis) -> Vec<(&'static str, u64)> {
         let listed = self.endpoints.values().filter(|v| v.listed);
         let silent = self.endpoints.values().filter(|v| v.silent.is_some());
@@ -169,19 +169,19 @@
         ]
     }
 
-    /// Requests that wait for an endpoint, or for this router to know of any.
+    /// Number of requests in wait queues or held until the routing is known.
     fn waiting(&self) -> usize {
         let lines = self.lines.values().map(|l| l.waiting.len());
         lines.sum::<usize>() + self.early.len()
     }
 
-    /// Endpoints that serve in no group for a reason, as far as this router plans.
+    /// Number of endpoints that serve in no group for a reason; 0 while this router doesn't plan.
     fn idle(&self, reason: IdleReason) -> u64 {
         let idle = self.plan.idle.values().filter(|i| i.reason == reason);
         idle.count() as u64
     }
 
-    /// How long this life of the process has lasted.
+    /// Time since this process handled its first event, in milliseconds.
     pub(super) fn age(&self, now: Millis) -> Millis {
         self.started.map_or(0, |at| now.saturating_sub(at))
     }
@@ -194,13 +194,13 @@
         value.checked_rem(bound).unwrap_or(0)
     }
 
-    /// The next number for a run, an order or a call.
+    /// The next number for a run, an order, a call or a probe request.
     pub(super) fn number(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
-    /// Calls the key-value service.
+    /// Sends a call to the key-value service and returns its number.
     pub(super) fn call(&mut self, op: StoreCall, out: &mut Vec<Effect>) -> CallId {
         let call = self.number();
         out.push(Effect::Store { call, op });
--- a/src/logic/direct/mechanism.rs
+++ b/src/logic/direct/mechanism.rs
@@ -1,32 +1,31 @@
 use std::str::FromStr;
 
-/// A part of the policy that can be switched off, so that its worth can be measured.
+/// A part of the policy that can be switched off to measure its effect.
 ///
-/// None of them keeps a promise to callers or keeps groups apart; those can't be
-/// switched off here.
+/// What guarantees to callers or the separation of groups depend on can't be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mechanism {
-    /// Prompts that wait to be read at a head are bounded.
+    /// Bounds the prompt tokens that a head has yet to read.
     ReadingBound,
-    /// Limits by head rise and fall with how soon requests begin.
+    /// Adapts the limit of runs at a head to the time until answers begin.
     Limits,
-    /// Groups are given up for others that add more.
+    /// Gives up groups for others that add more capacity.
     Trades,
-    /// Members load a second model to their hosts.
+    /// Has members load a second model to their hosts.
     SecondModels,
-    /// Spares load and hold a model.
+    /// Has spares load and hold a model.
     Spares,
-    /// Streams leave a head that is silent.
+    /// Moves streams away from a silent head.
     Silence,
-    /// A head that pauses has its group looked at.
+    /// Has the planner probe the group of a head that pauses.
     EarlyLooks,
-    /// A half-given stream waits for a head to take it up.
+    /// Lets a stream that has begun wait for a head that resumes it.
     ResumeWait,
-    /// The planner tells other routers what the list shows.
+    /// Broadcasts changes of the endpoint list in digests.
     News,
-    /// Groups are weighed by what callers ask for, not by published shares.
+    /// Weighs groups by demand instead of the published shares.
     Demand,
-    /// Members that stay behind are told to leave a group that is over.
+    /// Orders members that stay behind in a group that is over to leave it.
     Freeing,
 }
 
--- a/src/logic/direct/mod.rs
+++ b/src/logic/direct/mod.rs
@@ -1,10 +1,10 @@
 //! Decisions of a router that reaches endpoints by direct links.
 //!
-//! There is no agent beside the endpoint here: engines keep their groups
-//! themselves and the platform lists them. A request's life goes one way:
-//! `accept`, `choose`, `send`, `answer`, `end`. `silence` finds endpoints that
-//! were lost, `crashes` finds requests that crash them, `plan` forms and repairs groups while this router holds the
-//! planner's lease, `digests` tells all routers what the planner has read.
+//! There are no agents beside the endpoints here: engines maintain their groups themselves, and
+//! the platform lists them. A request passes through `accept`, `choose`, `send`, `answer` and
+//! `end`. `silence` detects silent endpoints and `crashes` detects requests that crash them.
+//! `plan` forms and repairs groups while this router holds the planner lease, and `digests`
+//! broadcasts what the planner has read to all routers.
 
 pub mod crashes;
 pub mod plan;
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -55,8 +55,8 @@
         DirectEvent::RoutingChecked { asked } => pause::checked(state, asked),
         DirectEvent::StoreEra(era) => store::entered(state, now, era, out),
         DirectEvent::List { at, entries } => {
-            // What the first reading of an era shows isn't told as news, so that they begin
-            // behind it.
+            // The entries of an era's first reading are no updates, so that the updates begin
+            // after its position.
             let before = if state.listed_once && state.listed_at.era == at.era {
                 state.listed_at
             } else {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Takes up a version of the routing; an older one changes nothing.
+/// Puts a version of the routing into force, unless it is older than the one in force.
 fn on_routing(state: &mut DirectState, routing: Arc<Routing>, out: &mut Vec<Effect>) {
     let known = state.routing.as_ref().map_or(0, |r| r.version);
     if state.routing.is_some() && routing.version < known {
@@ -105,9 +105,9 @@
         .with("version", routing.version)
         .with("before", known);
     out.push(Effect::Note(note));
-    let told = state.routing.take();
-    let told = told.as_ref().map_or(&[][..], |r| &r.gaps);
-    for gap in routing.gaps.iter().filter(|gap| !told.contains(gap)) {
+    let before = state.routing.take();
+    let logged = before.as_ref().map_or(&[][..], |r| &r.gaps);
+    for gap in routing.gaps.iter().filter(|gap| !logged.contains(gap)) {
         let note = Note::new(NoteCode::FigureMissing)
             .with("place", &gap.place)
             .with("found", &gap.found)
@@ -137,14 +137,15 @@
     advance_shutdown(state, now, out);
 }
 
-/// Parts of the time to stop, in sixteenths, until no more callers are taken:
-/// by then the balancer has found out.
-const DOORS: Millis = 6;
+/// Part of the grace time after which no more callers are accepted, in sixteenths: by then the
+/// balancer has noticed that this router isn't ready.
+const CLOSE_SIXTEENTHS: Millis = 6;
 
-/// Parts of the time to stop, in sixteenths, until everything ends.
-const LAST: Millis = 15;
+/// Part of the grace time after which the process exits in any case, in sixteenths.
+const EXIT_SIXTEENTHS: Millis = 15;
 
-/// Takes an orderly stop further: no more callers, then no more waiting.
+/// Advances the shutdown: stops accepting callers, then exits once all requests are answered or
+/// the grace time is nearly over.
 fn advance_shutdown(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let Some(since) = state.stopping else {
         return;
@@ -152,11 +153,11 @@
     let part = state.knobs.grace_ms / 16;
     let answered = state.flights.is_empty() && state.early.is_empty();
     match state.ending {
-        EndStage::Open if now >= since + DOORS * part => {
+        EndStage::Open if now >= since + CLOSE_SIXTEENTHS * part => {
             state.ending = EndStage::Closed;
             out.push(Effect::Direct(DirectEffect::CloseDoors));
         }
-        EndStage::Closed if answered || now >= since + LAST * part => {
+        EndStage::Closed if answered || now >= since + EXIT_SIXTEENTHS * part => {
             state.ending = EndStage::Over;
             out.push(Effect::Exit);
         }
@@ -164,6 +165,7 @@
     }
 }
 
+/// Reports a change of this router's readiness to the balancer.
 fn notify_readiness(state: &mut DirectState, out: &mut Vec<Effect>) {
     let ready = state.routing.is_some() && state.listed && state.stopping.is_none();
     if ready != state.ready {
