--- a/src/logic/direct/demand.rs
+++ b/src/logic/direct/demand.rs
@@ -24,8 +24,7 @@
 /// another one that is formed. Over two steps of the tree a report is at most 2 s old.
 const REPORT_INTERVAL_MS: Millis = 1_000;
 
-/// Age from which a router's report no longer counts, so that three lost in a row are
-/// tolerated.
+/// Age from which a router's report no longer counts: three in a row were lost by then.
 const REPORT_VALID_MS: Millis = 4_000;
 
 /// Age up to which a new planner uses the demand of all routers from its predecessor's
@@ -44,7 +43,8 @@
 /// in and ten times the tokens out.
 const ANSWER_WEIGHT: u64 = 10;
 
-/// Demand that a router knows of: its own requests by slot and model, and reports of reports.
+/// Demand that a router knows of: its own requests by slot and model, and reports of other
+/// routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Demand {
     /// Slots by number, the oldest first.
@@ -231,7 +231,7 @@
 }
 
 /// Estimated demand a second of all routers, by model. Routers that haven't reported yet are
-/// taken to have the average demand of the reports.
+/// taken to have the average demand of the others.
 pub(super) fn estimated_demand(
     state: &DirectState,
     now: Millis,
--- a/src/logic/direct/digest_part.rs
+++ b/src/logic/direct/digest_part.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds a batch of updates, as far as there is bytes_left.
+    /// Adds a batch of updates, as far as there is room.
     fn add(&mut self, batch: &NewsBatch) {
         self.upto = self.upto.max(batch.after);
         for update in &batch.news {
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -2,8 +2,8 @@
 //!
 //! It broadcasts changes of the endpoint list, the version of its routing and the demand of
 //! all routers along two trees. A router that has received every recent digest doesn't poll
-//! the store; one that misses an update, or receives nothing for a while, does. For 52
-//! routers digests cut the calls to the store from 10,166 to 2,474 in 34 s of light load.
+//! the store; one that misses an update, or receives nothing for a while, does. In a
+//! calm run of 34 s with 52 routers digests cut the calls to the store from 10,166 to 2,474.
 
 use super::digest_part::split_into_parts;
 use super::{demand, endpoints, tree, DirectEffect, DirectState, EntryNews, ListPace};
@@ -29,10 +29,10 @@
 const VALID_MS: Millis = 1_200;
 
 /// Adds an endpoint update to those that have no store position yet.
-pub(super) fn add_update(state: &mut DirectState, news: EntryNews) {
+pub(super) fn add_update(state: &mut DirectState, update: EntryNews) {
     // The entries of the first reading are no changes.
     if state.listed_once {
-        state.digests.pending.push(news);
+        state.digests.pending.push(update);
     }
 }
 
@@ -42,8 +42,8 @@
     let Some(view) = state.endpoints.get(id) else {
         return;
     };
-    let news = EntryNews::changed(id, &view.entry);
-    add_update(state, news);
+    let update = EntryNews::changed(id, &view.entry);
+    add_update(state, update);
     let known = state.listed_at;
     close_batch(state, now, known, known);
 }
@@ -71,8 +71,8 @@
     }
 }
 
-/// The list was read from the store, up to a position. Where digests had already brought this
-/// router further, the answer may have undone changes, so that the list is read again.
+/// The list was read from the store, up to a position. Where digests have already brought
+/// this router further, the answer may have undone changes, so that reading goes on from here.
 pub(super) fn on_list_read(
     state: &mut DirectState,
     now: Millis,
@@ -89,13 +89,13 @@
     digests.upto = digests.upto.max(at);
 }
 
-/// Sends digests, while this router plans, and sends the host the pace of reading.
+/// Sends digests, while this router is the planner, and the pace of reading to the host.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let plans = state.plan.duty.holds(now) && state.stopping.is_none();
+    let is_planner = state.plan.duty.holds(now) && state.stopping.is_none();
     let digests = &state.digests;
     let since = now.saturating_sub(digests.sent);
     let due = since >= MAX_INTERVAL_MS || (digests.changed && since >= MIN_INTERVAL_MS);
-    if plans && due && state.knobs.on(Mechanism::News) && !state.peers.is_empty() {
+    if is_planner && due && state.knobs.on(Mechanism::News) && !state.peers.is_empty() {
         send_digests(state, now, out);
     }
     send_read_pace(state, now, out);
@@ -144,9 +144,9 @@
     }
 }
 
-/// Handles a digest: forwards it and applies it, unless it is outdated or a duplicate. The time
-/// that it may have waited for this process is added to its ages, also for the routers that it
-/// is forwarded to.
+/// Handles a digest: forwards it along its tree, and applies it unless it has come by the other
+/// tree already. The time that it may have waited for this process is added to its ages, also
+/// for the routers that it is forwarded to.
 pub(super) fn on_digest(
     state: &mut DirectState,
     now: Millis,
@@ -192,8 +192,8 @@
     }
     let known = state.digests.upto;
     let mut whole = digest.whole && digest.from <= known;
-    for (at, news) in digest.news {
-        whole &= endpoints::on_endpoint_update(state, now, news, at > known, out);
+    for (at, update) in digest.news {
+        whole &= endpoints::on_endpoint_update(state, now, update, at > known, out);
     }
     if whole {
         close_batch(state, now, known, known.max(digest.upto));
@@ -210,15 +210,15 @@
 /// Sends the host the pace of reading the list, and whether the routing is read, if either has
 /// changed.
 fn send_read_pace(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let plans = state.plan.duty.fence > 0;
-    let pace = if plans || !state.knobs.on(Mechanism::News) {
+    let is_planner = state.plan.duty.fence > 0;
+    let pace = if is_planner || !state.knobs.on(Mechanism::News) {
         ListPace::Often
     } else if now < state.digests.list_until {
         ListPace::Told
     } else {
         ListPace::Rest
     };
-    let hold = !plans && now < state.digests.routing_until;
+    let hold = !is_planner && now < state.digests.routing_until;
     if state.digests.pace != Some(pace) || state.digests.hold != hold {
         if state.digests.pace == Some(ListPace::Told) {
             // Digests lack changes that don't affect where requests go, such as the seats of
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -36,12 +36,12 @@
     }
     state.listed_once = true;
     let heads = state.endpoints.values().filter(|v| v.listed && v.heads());
-    let note = Note::new(NoteCode::ListRead)
+    let event = Note::new(NoteCode::ListRead)
         .with("revision", state.listed_at.revision)
         .with("era", state.listed_at.era)
         .with("endpoints", listed_ids.len())
         .with("heads", heads.count());
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
 }
 
 /// Applies a change of one entry of the list; `None` means that the entry was removed.
@@ -75,11 +75,11 @@
     let Some(view) = state.endpoints.get_mut(&id) else {
         // The first reading is logged as a whole, not endpoint by endpoint.
         if state.listed_once {
-            let note = Note::new(NoteCode::EndpointListed)
+            let event = Note::new(NoteCode::EndpointListed)
                 .with("endpoint", &id)
                 .with("domain", &entry.domain)
                 .with("service", &entry.service);
-            out.push(Effect::Note(note));
+            out.push(Effect::Note(event));
         }
         digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
         let view = EndpointView {
@@ -89,7 +89,7 @@
         state.endpoints.insert(id, view);
         return;
     };
-    let news = if view.listed {
+    let update = if view.listed {
         EntryNews::of(&id, &view.entry, &entry)
     } else {
         Some(EntryNews::Listed(id.clone(), entry.clone()))
@@ -117,8 +117,8 @@
     view.listed = true;
     view.last = entry.model.clone().or_else(|| view.last.take());
     view.entry = entry;
-    if let Some(news) = news {
-        digests::add_update(state, news);
+    if let Some(update) = update {
+        digests::add_update(state, update);
     }
 }
 
@@ -143,11 +143,11 @@
     let Some(view) = state.endpoints.get_mut(id) else {
         return;
     };
-    let note = Note::new(NoteCode::EndpointRestarted)
+    let event = Note::new(NoteCode::EndpointRestarted)
         .with("endpoint", id)
         .with("born", entry.born.unwrap_or(0))
         .with("running", view.running);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let before = std::mem::replace(
         view,
         EndpointView {
@@ -199,11 +199,11 @@
 pub(super) fn on_endpoint_update(
     state: &mut DirectState,
     now: Millis,
-    news: EntryNews,
+    update: EntryNews,
     later: bool,
     out: &mut Vec<Effect>,
 ) -> bool {
-    let known = state.endpoints.get(news.id()).filter(|v| v.listed);
+    let known = state.endpoints.get(update.id()).filter(|v| v.listed);
     let older = known.map(|v| (v.entry.clone(), v.epoch()));
     let newer = |born: Option<u64>, beats: u64, seat: &Option<GroupSeat>| {
         let epoch = seat.as_ref().map_or(0, |s| s.epoch);
@@ -213,7 +213,7 @@
         };
         older.as_ref().map_or(later, is_newer_than)
     };
-    match news {
+    match update {
         EntryNews::Gone(id) if later => on_entry_change(state, now, id, None, out),
         EntryNews::Gone(_) => {}
         EntryNews::Listed(id, entry) => {
@@ -305,16 +305,16 @@
     since: Millis,
 ) -> Sight {
     let view = state.endpoints.get(id);
-    let spoke = view.is_some_and(|v| v.spoke > since);
-    let works = view.is_some_and(|v| v.running > 0);
-    let broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKEN_RUN_MS);
+    let has_answered = view.is_some_and(|v| v.spoke > since);
+    let has_runs = view.is_some_and(|v| v.running > 0);
+    let run_broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKEN_RUN_MS);
     match result {
         LookResult::Replaced => Sight::Gone,
         LookResult::Alive { .. } => Sight::Alive,
-        _ if spoke => Sight::Alive,
+        _ if has_answered => Sight::Alive,
         LookResult::Silent => Sight::Silent,
-        LookResult::Refused if works => Sight::Alive,
-        LookResult::Refused if broke => Sight::Gone,
+        LookResult::Refused if has_runs => Sight::Alive,
+        LookResult::Refused if run_broke => Sight::Gone,
         LookResult::Refused => Sight::Refuses,
     }
 }
@@ -391,11 +391,11 @@
     let failures = view.failures;
     let at = state.flights.get(&request).and_then(|f| f.run.as_ref());
     if let Some(run) = at {
-        let note = Note::new(NoteCode::EndpointFailed)
+        let event = Note::new(NoteCode::EndpointFailed)
             .with("endpoint", &run.at)
             .with("refused", refused)
             .with("failures", failures)
             .with("left_alone", backoff_ms);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
 }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -93,26 +93,30 @@
 fn on_routing(state: &mut DirectState, routing: Arc<Routing>, out: &mut Vec<Effect>) {
     let known = state.routing.as_ref().map_or(0, |r| r.version);
     if state.routing.is_some() && routing.version < known {
-        let note = Note::new(NoteCode::RoutingOlder)
+        let event = Note::new(NoteCode::RoutingOlder)
             .with("version", routing.version)
             .with("in_force", known);
-        return out.push(Effect::Note(note));
+        return out.push(Effect::Note(event));
     }
     if state.routing.is_some() && routing.version == known {
         return;
     }
-    let note = Note::new(NoteCode::RoutingInForce)
+    let event = Note::new(NoteCode::RoutingInForce)
         .with("version", routing.version)
         .with("before", known);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let before = state.routing.take();
     let logged = before.as_ref().map_or(&[][..], |r| &r.gaps);
-    for gap in routing.gaps.iter().filter(|gap| !logged.contains(gap)) {
-        let note = Note::new(NoteCode::FigureMissing)
-            .with("place", &gap.place)
-            .with("found", &gap.found)
-            .with("used", &gap.used);
-        out.push(Effect::Note(note));
+    for missing in routing
+        .gaps
+        .iter()
+        .filter(|missing| !logged.contains(missing))
+    {
+        let event = Note::new(NoteCode::FigureMissing)
+            .with("place", &missing.place)
+            .with("found", &missing.found)
+            .with("used", &missing.used);
+        out.push(Effect::Note(event));
     }
     state.routing = Some(routing);
 }
--- a/tests/direct/demand.rs
+++ b/tests/direct/demand.rs
@@ -1,4 +1,4 @@
-//! What callers ask for decides which groups stand.
+//! Which groups are kept and traded depends on the demand of callers.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::fixture::{addr, engine, keep_busy, open_group, order, seat, Router, MODEL};
 
-/// Two open groups of the small model, whose hosts keep the large one.
+/// Two open groups of the small model, whose members' hosts also have the large one.
 fn small_groups() -> Vec<(InstanceId, EndpointEntry)> {
     let member = |n: u16| {
         let rank = usize::from((n + 1) % 2);
@@ -20,7 +20,7 @@
     (11..=14).map(member).collect()
 }
 
-/// Heads that were told to finish and stop.
+/// Heads that were ordered to close their groups.
 fn closed(effects: &[DirectEffect]) -> Vec<String> {
     let close = |e| match order(e) {
         Some((_, id, GroupStep::Close { .. })) => Some(id),
@@ -42,16 +42,16 @@
     let mut router = Router::planner(fleet());
     keep_busy(&mut router, 2.0, 0.4, 4);
     router.pass(1_000);
-    // The spare and the members of one small group make a second large one.
-    let told: Vec<String> = router
+    // The spare and the members of one small group form a second large one.
+    let traded: Vec<String> = router
         .state()
         .plan
         .trades
         .values()
         .map(|g| g.to_string())
         .collect();
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told[0].starts_with('s'), "{told:?}");
+    assert_eq!(traded.len(), 1, "{traded:?}");
+    assert!(traded[0].starts_with('s'), "{traded:?}");
 }
 
 #[test]
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn nothing_is_traded_before_other_routers_have_told_their_part() {
+fn nothing_is_traded_before_other_routers_have_reported() {
     let mut router = Router::planner(fleet());
     router
         .state()
@@ -94,8 +94,8 @@
     assert!(!router.state().plan.trades.is_empty());
 }
 
-/// Requests of the large model that a router reports on the way to the planner, in
-/// thousandths a second.
+/// Requests for the large model in the first report that a router has sent towards the planner,
+/// in thousandths a second.
 fn reported(router: &mut Router) -> u64 {
     let models = router
         .said()
@@ -107,7 +107,7 @@
     models.expect("a report")[0].requests
 }
 
-/// A router that doesn't plan, just behind one of its reports.
+/// A router that isn't the planner and has just sent a report.
 fn reporting(entries: Vec<(InstanceId, EndpointEntry)>) -> Router {
     let routers = [InstanceId::new("r2"), InstanceId::new("r1")];
     let mut router = Router::named("r1", &routers, entries);
@@ -133,10 +133,10 @@
     assert_eq!(four, 4 * reported(&mut router));
 }
 
-/// Nobody can tell a request that comes back from a new one, but each that was refused
-/// comes back once: half of what comes is first tries where all of it is refused.
+/// Guards against counting refused requests twice. A request that comes back looks like a new
+/// one, but each refused request comes back once: if all are refused, half are first tries.
 #[test]
-fn what_is_refused_and_comes_back_is_demand_once() {
+fn a_refused_request_that_comes_back_counts_once() {
     let rate = |entries: Vec<_>| {
         let mut router = reporting(entries);
         for id in 0..8 {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_router_reports_those_behind_it_as_well() {
+fn a_router_reports_the_demand_of_its_subtree() {
     let routers = [InstanceId::new("r2"), InstanceId::new("r1")];
     let mut router = Router::named("r1", &routers, fleet());
     let behind = ModelDemand {
@@ -176,7 +176,7 @@
     assert_eq!(reports.last(), Some((4, 700)));
 }
 
-/// So many small groups in another domain, where a large one is being formed as well.
+/// So many small groups in another domain, and three spares that form a large one there.
 fn elsewhere(groups: u16) -> Vec<(InstanceId, EndpointEntry)> {
     let member = |n: u16| {
         let place = seat(&format!("t{}", n / 2), usize::from(n % 2), SeatState::Open);
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -1,4 +1,4 @@
-//! What the router that plans tells all others, and what they do without it.
+//! Digests of the planner to all other routers, and what routers do without them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
     FENCE, MODEL,
 };
 
-/// Names of so many routers; the first one plans.
+/// Ids of so many routers; the first one is the planner.
 fn names(count: usize) -> Vec<InstanceId> {
     (0..count)
         .map(|n| InstanceId::new(&format!("r{n}")))
         .collect()
 }
 
-/// A digest of the first router that covers the list up to a revision.
+/// A digest of the planner with updates after one revision of the list up to another.
 fn digest(number: u64, from: i64, upto: i64, news: Vec<EntryNews>) -> Digest {
     let (from, upto) = (at(from), at(upto));
     let news = news.into_iter().map(|n| (upto, n)).collect();
@@ -31,7 +31,7 @@
     }
 }
 
-/// A router that doesn't plan and has been told nothing yet.
+/// A router that isn't the planner and has received no digest yet.
 fn follower() -> Router {
     Router::named("r1", &names(2), open_group("g", [1, 2, 3]))
 }
@@ -44,7 +44,7 @@
     change_of(&id, &entry)
 }
 
-/// What is told of an entry that has changed.
+/// The update for an entry that has changed.
 fn change_of(id: &InstanceId, entry: &EndpointEntry) -> EntryNews {
     EntryNews::Changed {
         id: id.clone(),
@@ -56,14 +56,15 @@
     }
 }
 
-/// Hands what a router says to those it says it to, until all is said.
-fn pass_all(
+/// Delivers messages and the messages that they cause, until none is left. Returns the most
+/// messages that one router sent at a time.
+fn deliver_all(
     routers: &mut BTreeMap<SocketAddr, Router>,
     first: Vec<(SocketAddr, PeerMessage)>,
 ) -> usize {
-    let mut said = first;
-    let mut most = said.len();
-    while let Some((to, message)) = said.pop() {
+    let mut pending = first;
+    let mut most = pending.len();
+    while let Some((to, message)) = pending.pop() {
         if let Some(router) = routers.get_mut(&to) {
             router.tell(DirectEvent::Peer {
                 from: addr(1),
@@ -71,7 +72,7 @@
             });
             let next = router.said();
             most = most.max(next.len());
-            said.extend(next);
+            pending.extend(next);
         }
     }
     most
@@ -102,19 +103,19 @@
         });
         planner.pass(60);
         let first = planner.said();
-        let most = pass_all(&mut routers, first);
+        let most = deliver_all(&mut routers, first);
         assert!(most <= 3 * 16, "{count} routers: {most} datagrams of one");
-        let told = |r: &mut Router| r.state().endpoints[&id].entry.leaving;
+        let has_update = |r: &mut Router| r.state().endpoints[&id].entry.leaving;
         let missed = routers
             .values_mut()
-            .filter_map(|r| (!told(r)).then_some(()))
+            .filter_map(|r| (!has_update(r)).then_some(()))
             .count();
         assert_eq!(missed, 0, "{count} routers");
     }
 }
 
 #[test]
-fn a_router_that_is_told_reads_nothing_until_it_hears_nothing() {
+fn digests_suspend_reading_until_none_arrives() {
     let mut router = follower();
     router.pass(100);
     assert_eq!(pace(&mut router), Some((ListPace::Rest, false)));
@@ -133,11 +134,11 @@
 }
 
 #[test]
-fn what_was_missed_is_read() {
+fn a_missed_update_makes_the_router_read_the_list() {
     let mut router = follower();
     router.pass(100);
     router.take();
-    // From behind a revision that this router has never heard of.
+    // Its updates begin after a revision that this router hasn't reached.
     hear(
         &mut router,
         digest(1, FENCE + 1, FENCE + 3, vec![leaving()]),
@@ -147,15 +148,15 @@
     cut.whole = false;
     hear(&mut router, cut);
     router.pass(100);
-    assert_eq!(pace(&mut router), None, "still read");
+    assert_eq!(pace(&mut router), None, "the list is still read");
     hear(&mut router, digest(3, FENCE, FENCE + 4, Vec::new()));
     assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
 }
 
-/// A router that has just started and plans knows nothing of what left the list before:
-/// a head that has gone would get requests until its next change, which never comes.
+/// A planner that has just started doesn't know what left the list before. If its digests
+/// covered that time, other routers would go on sending requests to a head that has gone.
 #[test]
-fn a_planner_that_has_just_started_tells_nothing_of_what_came_before() {
+fn digests_of_a_new_planner_begin_after_its_first_reading() {
     let mut router = follower();
     let mut fresh = Router::bare();
     fresh.state().me = InstanceId::new("r0");
@@ -174,7 +175,7 @@
         _ => None,
     });
     let digests: Vec<_> = digests.collect();
-    assert!(!digests.is_empty(), "it plans and tells");
+    assert!(!digests.is_empty(), "it plans and sends digests");
     for digest in digests {
         hear(&mut router, digest);
     }
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn what_the_planner_has_read_long_ago_stands_in_for_nothing() {
+fn a_digest_of_an_old_reading_suspends_no_reading() {
     let mut router = follower();
     router.pass(100);
     router.take();
@@ -210,8 +211,8 @@
     assert_eq!(pace(&mut router), None, "both are read as before");
 }
 
-/// What a router that was busy for so long does about a digest: whether it leaves the
-/// routing alone, and the ages that it passes on.
+/// Delivers a digest to a router that was busy for a while: whether the router suspends reading
+/// the routing, and the ages in the digests that it forwards.
 fn after_a_wait(me: &InstanceId, ms: u64, tick: bool) -> (bool, Vec<u64>) {
     let mut router = Router::named(me.as_str(), &names(40), open_group("g", [1, 2, 3]));
     router.pass(100);
@@ -233,8 +234,8 @@
     (effects.iter().any(held), ages.collect())
 }
 
-/// A digest that waited in the socket of a busy router counted as young, there and at those
-/// it was passed on to: a new configuration was not read in time.
+/// Guards against a digest that waits in the socket of a busy router and then counts as recent,
+/// there and at the routers that it is forwarded to: a new configuration isn't read in time.
 #[test]
 fn the_time_that_a_digest_waits_for_a_busy_router_is_part_of_its_age() {
     let mut passed = 0;
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn news_that_is_older_than_what_was_read_changes_nothing() {
+fn an_update_older_than_what_was_read_changes_nothing() {
     let mut router = follower();
     let (id, entry) = engine(1, None);
     hear(
@@ -291,14 +292,14 @@
     assert_eq!(
         run(&router.ask(1, "/stream/x")).to,
         id,
-        "its beats are no newer"
+        "its heartbeats are no newer"
     );
 }
 
-/// Found by the soak: the list showed the head only after the planner had taken it for
-/// open by its own word, and then nothing seemed to have changed.
+/// Guards against a head that other routers never learn of: the planner takes it for open by
+/// its own report, so that the list, which shows it later, brings the planner no change.
 #[test]
-fn a_head_that_is_open_by_its_own_word_is_told_before_the_list_shows_it() {
+fn a_head_open_by_its_own_report_is_sent_in_digests_before_the_list_shows_it() {
     let mut router = Router::named("r1", &names(2), (1..=3).map(|n| engine(n, None)).collect());
     let (id, entry) = open_group("g", [1, 2, 3]).remove(0);
     hear(
@@ -308,8 +309,8 @@
     assert_eq!(run(&router.ask(1, "/stream/x")).to, id);
 }
 
-/// A router that had read of a group before it opened took the planner's word that it had
-/// for old, as the head's heartbeats were the same, and never sent it anything.
+/// Guards against a router that ignores a digest which says that a group has opened: the head's
+/// heartbeat count is the one that the router has read already, from before it opened.
 #[test]
 fn a_head_that_opens_between_two_heartbeats_is_taken_in() {
     let joining = |n: u16| engine(n, seat("g", usize::from(n) - 1, SeatState::Joining));
@@ -323,7 +324,7 @@
 }
 
 #[test]
-fn what_is_told_again_brings_nobody_back_who_is_gone() {
+fn a_repeated_digest_does_not_relist_an_endpoint_that_is_gone() {
     let mut router = follower();
     let (id, entry) = plain(1);
     let mut twice = digest(1, FENCE, FENCE + 2, Vec::new());
@@ -338,7 +339,7 @@
 }
 
 #[test]
-fn an_answer_of_the_store_that_was_overtaken_is_read_again() {
+fn a_store_answer_older_than_the_digests_is_read_again() {
     let mut router = follower();
     router.pass(100);
     let (id, _) = engine(1, None);
@@ -356,7 +357,7 @@
 }
 
 #[test]
-fn a_plain_endpoint_that_is_new_is_told_whole() {
+fn a_new_plain_endpoint_is_sent_with_its_whole_entry() {
     let mut router = follower();
     let (id, entry) = plain(1);
     hear(
@@ -372,12 +373,12 @@
 }
 
 #[test]
-fn word_that_the_store_is_back_spreads_and_is_tried_by_each() {
+fn each_router_that_hears_of_a_recovered_store_tries_it() {
     let mut router = Router::named("r1", &names(9), open_group("g", [1, 2, 3]));
     router.take();
     router.tell(DirectEvent::StoreBack);
-    let told: BTreeSet<_> = router.said().into_iter().map(|(to, _)| to).collect();
-    assert_eq!(told.len(), 3);
+    let notified: BTreeSet<_> = router.said().into_iter().map(|(to, _)| to).collect();
+    assert_eq!(notified.len(), 3);
     router.tell(DirectEvent::Peer {
         from: addr(2_000),
         message: PeerMessage::StoreBack,
@@ -385,10 +386,10 @@
     assert_eq!(router.take(), vec![DirectEffect::TryStore]);
 }
 
-/// Reading goes on from what was told, so that a lost planner doesn't make all others read
-/// the whole list; who plans next reads it.
+/// When the digests end, reading goes on from the last one, so that the loss of a planner doesn't
+/// make all routers read the whole list. Digests lack some changes, so the next planner does.
 #[test]
-fn a_router_that_was_told_reads_the_list_whole_before_it_plans() {
+fn a_router_that_relied_on_digests_reads_the_whole_list_before_it_plans() {
     let mut router = follower();
     router.pass(100);
     hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
@@ -405,44 +406,44 @@
 }
 
 #[test]
-fn a_router_that_takes_the_duty_over_knows_what_all_are_asked_for() {
+fn a_new_planner_knows_the_demand_of_all_routers() {
     let mut router = follower();
-    let mut told = digest(1, FENCE, FENCE, Vec::new());
-    told.told = 2;
-    told.demand = vec![ModelDemand {
+    let mut received = digest(1, FENCE, FENCE, Vec::new());
+    received.told = 2;
+    received.demand = vec![ModelDemand {
         requests: 2_500_000,
         ..ModelDemand::none(&MODEL.into())
     }];
-    hear(&mut router, told);
+    hear(&mut router, received);
     router.take();
     router.state().plan.duty.holder = None;
     router.pass(1_000);
     assert!(router.holds());
-    let mut said = router.said().into_iter();
-    let sum = said.find_map(|(_, m)| match m {
+    let mut sent = router.said().into_iter();
+    let sum = sent.find_map(|(_, m)| match m {
         PeerMessage::Digest(digest) => Some((digest.told, digest.demand[0].requests)),
         _ => None,
     });
     assert_eq!(sum, Some((2, 2_500_000)));
 }
 
-/// Found by the sweep: a planner that had no callers of its own took loads for cheap.
+/// Guards against a planner that takes loads for cheap, because it has no callers itself.
 #[test]
 fn a_router_without_callers_knows_that_others_have_some() {
     let mut router = follower();
     router.state().plan.first = true;
     assert!(!router.state().plan.traffic);
-    let mut told = digest(1, FENCE, FENCE, Vec::new());
-    told.demand = vec![ModelDemand {
+    let mut received = digest(1, FENCE, FENCE, Vec::new());
+    received.demand = vec![ModelDemand {
         requests: 1,
         ..ModelDemand::none(&MODEL.into())
     }];
-    hear(&mut router, told);
+    hear(&mut router, received);
     assert!(router.state().plan.traffic);
 }
 
 #[test]
-fn a_change_of_an_endpoint_that_was_never_heard_of_is_a_gap() {
+fn an_update_of_an_unknown_endpoint_makes_the_router_read_the_list() {
     let mut router = follower();
     router.pass(100);
     router.take();
@@ -476,8 +477,8 @@
     }
     planner.pass(60);
     let mut router = Router::named("r1", &names(2), entries());
-    let said = planner.said();
-    for (_, message) in said {
+    let sent = planner.said();
+    for (_, message) in sent {
         router.tell(DirectEvent::Peer {
             from: addr(2_000),
             message,
@@ -492,8 +493,8 @@
     assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
 }
 
-/// A list entry with names as long as the longest seen so far.
-fn longest() -> (InstanceId, EndpointEntry) {
+/// An entry of the list with long names.
+fn longest_entry() -> (InstanceId, EndpointEntry) {
     let (_, mut entry) = engine(
         1,
         seat("g18446744073709", 31, runrail::types::SeatState::Closing),
@@ -508,12 +509,12 @@
 }
 
 #[test]
-fn a_digest_with_all_the_news_that_it_may_hold_fits_a_datagram() {
+fn a_digest_with_all_the_updates_that_it_may_hold_fits_a_datagram() {
     let mut planner = Router::named("r0", &names(2), Vec::new());
     planner.state().plan.duty.holder = None;
     planner.pass(400);
     let named = |n| {
-        let (id, entry) = longest();
+        let (id, entry) = longest_entry();
         (InstanceId::new(&format!("{id}-{n}")), Some(entry))
     };
     planner.take();
@@ -536,18 +537,18 @@
     assert!(cut > 0);
 }
 
-/// The longest datagram of a planner that tells of so many endpoints: that they are new,
-/// that they leave, that they are gone.
+/// Size in bytes of the longest_entry datagram of a planner whose list changes by so many endpoints,
+/// which are new, are leaving, or are gone.
 fn longest_datagrams(count: usize) -> [usize; 3] {
     let mut planner = Router::named("r0", &names(2), Vec::new());
     planner.state().plan.duty.holder = None;
     planner.pass(400);
     let named = |entry: &Option<EndpointEntry>| -> Vec<_> {
-        let (id, _) = longest();
+        let (id, _) = longest_entry();
         let name = |n| InstanceId::new(&format!("{id}-{n}"));
         (0..count).map(|n| (name(n), entry.clone())).collect()
     };
-    let (_, mut entry) = longest();
+    let (_, mut entry) = longest_entry();
     entry.born = Some(1_800_000_000_000);
     let mut leaving = entry.clone();
     leaving.leaving = true;
@@ -566,8 +567,8 @@
             changes: named(&entry),
         });
         planner.pass(60);
-        let said = planner.said().into_iter();
-        let sizes = said.map(|(_, message)| {
+        let sent = planner.said().into_iter();
+        let sizes = sent.map(|(_, message)| {
             let mut bytes = Vec::new();
             ciborium::into_writer(&message, &mut bytes).expect("encoded");
             bytes.len()
@@ -576,7 +577,7 @@
     })
 }
 
-/// What doesn't fit a datagram is never heard.
+/// Guards against digests that are too large for a datagram, and so never arrive.
 #[test]
 fn a_digest_fits_a_datagram_whatever_it_tells() {
     for count in 1..40 {
@@ -586,11 +587,12 @@
     }
 }
 
-/// Found on the large site: every heartbeat of a large fleet within one rest.
+/// Guards against taking the heartbeats of a large fleet, which all change the list within one
+/// interval, for a backlog of changes.
 #[test]
 fn many_changes_alone_are_no_backlog() {
     use runrail::link::more_wait;
-    assert!(!more_wait(405, 398), "a fleet that beats");
+    assert!(!more_wait(405, 398), "heartbeats of a fleet");
     assert!(more_wait(500, 500), "answers that are cut at a bound");
     assert!(!more_wait(3, 3));
 }
--- a/tests/direct/foreign.rs
+++ b/tests/direct/foreign.rs
@@ -1,4 +1,4 @@
-//! Entries of the list and documents of operators that come from other writers.
+//! Entries of the list and operators' documents that other programs wrote.
 
 use std::time::Duration;
 
@@ -9,14 +9,15 @@
 use testkit::direct::config;
 use testkit::direct::{fleet, logs, served, until};
 
-/// An endpoint whose entry can't be read any more was used by its last readable one.
+/// Guards against an endpoint being used by its last readable entry after its entry has become
+/// unreadable.
 #[test]
-fn an_entry_that_can_no_longer_be_read_names_no_endpoint_to_use() {
+fn an_endpoint_whose_entry_becomes_unreadable_is_not_used() {
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(4, dir.path());
     let listed = |n: usize| {
-        let told = format!("runrail_endpoints {n}");
-        routers.iter().all(|r| r.figures().contains(&told))
+        let metric = format!("runrail_endpoints {n}");
+        routers.iter().all(|r| r.figures().contains(&metric))
     };
     until("all are listed", Duration::from_secs(5), || listed(6));
     standin.world().silence("p1");
@@ -33,7 +34,8 @@
     assert!(served(&routers[0], "held"), "the others hold");
 }
 
-/// An entry without a domain was taken for one of a plain service, and got streams.
+/// Guards against taking an entry without a domain for one of a plain service, so that it gets
+/// streams.
 #[test]
 fn an_endpoint_without_a_place_serves_nothing_of_a_service_with_groups() {
     let (id, mut entry) = engine(7, None);
@@ -44,7 +46,7 @@
     assert!(!sent, "{effects:?}");
 }
 
-/// Whoever writes an entry for a service that operators don't name got orders.
+/// Guards against orders to endpoints of a service that isn't in the operators' document.
 #[test]
 fn groups_of_a_service_that_operators_do_not_name_get_no_orders() {
     let mut entries = open_group("g", [1, 2, 3]);
@@ -67,7 +69,7 @@
     assert!(known, "it is listed all the same");
 }
 
-/// The newest change of the prefix was taken for the document's, whatever its key.
+/// Guards against taking the newest change of any key with this prefix for the document's.
 #[test]
 fn a_key_that_begins_like_the_documents_hides_no_change_of_it() {
     let dir = tempfile::tempdir().expect("a folder");
--- a/tests/direct/lag.rs
+++ b/tests/direct/lag.rs
@@ -1,11 +1,11 @@
-//! A list that lags: what the planner does not do by it.
+//! A list that lags behind: the planner doesn't act on outdated entries.
 
 use runrail::logic::direct::{DirectEffect, DirectEvent, GroupStep};
 use runrail::types::{EndpointEntry, InstanceId, SeatState};
 
 use crate::fixture::{at, engine, order, seat, Router, FENCE};
 
-/// The list as of a revision.
+/// Delivers a complete reading of the list at a revision.
 fn list(router: &mut Router, revision: i64, entries: Vec<(InstanceId, EndpointEntry)>) {
     router.tell(DirectEvent::List {
         at: at(revision),
@@ -18,9 +18,11 @@
     effects.iter().filter(join).count()
 }
 
-/// Found by the sweep at 300 machines: TWO, 221 times.
+/// Guards against a new planner that places endpoints by a list older than its lease, as happens
+/// where the list of a large fleet (300 machines) lags: the planner before may have placed them already, so that an endpoint would have to join another
+/// group while its own is open (rule TWO).
 #[test]
-fn a_new_planner_waits_for_a_list_as_new_as_its_duty() {
+fn a_new_planner_waits_for_a_list_as_new_as_its_lease() {
     let mut router = Router::bare();
     router.tell(DirectEvent::Routing(std::sync::Arc::new(
         crate::fixture::routing(1),
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn a_place_in_a_group_that_was_opened_stands_against_an_entry_that_lags() {
+fn a_seat_in_an_opened_group_overrides_a_lagging_entry() {
     let mut router = Router::planner((1..=3).map(|n| engine(n, None)).collect());
     let effects = router.take();
     let group = effects.iter().find_map(|e| match order(e) {
@@ -56,7 +58,7 @@
         if let Some(place) = &mut place {
             place.epoch = epoch;
         }
-        // The last one is seen by its own word; the list goes on to lag.
+        // The list doesn't show the last one's seat yet.
         if n < 3 {
             let (id, entry) = engine(n, place);
             router.change(id.as_str(), Some(entry));
@@ -67,19 +69,19 @@
     let (id, entry) = engine(3, None);
     router.change(id.as_str(), Some(entry));
     router.pass(2_000);
-    // A load to a member's host moves nothing.
-    let moves =
+    // An order to load a model to a member's host is allowed.
+    let changes_groups =
         |e: &DirectEffect| order(e).is_some_and(|o| !matches!(o.2, GroupStep::Stage { .. }));
     let effects = router.take();
     assert!(
-        !effects.iter().any(moves),
+        !effects.iter().any(changes_groups),
         "e3 is in the group: {effects:?}"
     );
 }
 
-/// What the store gave, from when it was asked for.
+/// The lease is as long as the store granted it, and longer for a large fleet.
 #[test]
-fn the_duty_lasts_as_long_as_the_store_said_and_by_the_size_of_the_fleet() {
+fn the_planner_lease_length_follows_the_store_and_the_fleet_size() {
     for (endpoints, length) in [(3, 1_000), (2_500, 2_000)] {
         let entries = (0..endpoints).map(|n| engine(n, None)).collect();
         let mut router = Router::planner(entries);
--- a/tests/direct/lives.rs
+++ b/tests/direct/lives.rs
@@ -1,29 +1,29 @@
-//! Endpoints that start again under their ids, and entries older than what is known.
+//! Endpoints that restart under their ids, and entries older than what is known.
 
 use runrail::logic::direct::{Digest, DirectEffect, EntryNews, GroupStep, LookResult};
 use runrail::types::{EndpointEntry, InstanceId};
 
 use crate::fixture::{at, empty_digest, engine, hear, open_group, order, plain, Router, FENCE};
 
-/// When the endpoints of these tests were born, in Unix milliseconds.
-const BORN: u64 = 1_790_000_000_000;
+/// When the endpoints of these tests first started, in Unix milliseconds.
+const STARTED_MS: u64 = 1_790_000_000_000;
 
-/// An open group of three and so many spares, all of which tell when they were born.
+/// An open group of three and so many spares, all with the time at which they started.
 fn fleet(spares: u16) -> Vec<(InstanceId, EndpointEntry)> {
     let spares = (4..4 + spares).map(|n| engine(n, None));
     let all = open_group("g", [1, 2, 3]).into_iter().chain(spares);
     all.map(|(id, mut entry)| {
-        entry.born = Some(BORN);
+        entry.born = Some(STARTED_MS);
         entry.beats = 50;
         (id, entry)
     })
     .collect()
 }
 
-/// The entry that an endpoint writes first in its next life.
-fn reborn(n: u16) -> EndpointEntry {
+/// The first entry that an endpoint writes after a restart.
+fn restarted(n: u16) -> EndpointEntry {
     let (_, mut entry) = engine(n, None);
-    entry.born = Some(BORN + 30_000);
+    entry.born = Some(STARTED_MS + 30_000);
     entry.beats = 1;
     entry.model = None;
     entry
@@ -36,19 +36,20 @@
     })
 }
 
-/// The count of heartbeats begins anew with a life: what followed was taken for old.
+/// Guards against updates after a restart being taken for outdated, as the count of heartbeats
+/// begins anew.
 #[test]
-fn news_of_a_next_life_are_taken_in_though_its_count_is_lower() {
+fn an_update_after_a_restart_is_applied_though_its_heartbeat_count_is_lower() {
     let mut router = Router::named("r1", &["r0", "r1"].map(InstanceId::new), fleet(0));
     let id = InstanceId::new("e1");
-    let news = vec![(at(FENCE + 1), EntryNews::Listed(id.clone(), reborn(1)))];
+    let news = vec![(at(FENCE + 1), EntryNews::Listed(id.clone(), restarted(1)))];
     let digest = Digest {
         from: at(FENCE),
         news,
         ..empty_digest(1, at(FENCE + 1))
     };
     hear(&mut router, digest);
-    assert_eq!(router.state().endpoints[&id].entry, reborn(1));
+    assert_eq!(router.state().endpoints[&id].entry, restarted(1));
     assert_eq!(
         sends_to(&router.ask(1, "/stream/x")),
         None,
@@ -56,35 +57,35 @@
     );
 }
 
-/// The planner kept a place that it knew better than the list, also for the next life: a
-/// group with a member that had never joined it would have counted as complete.
+/// Guards against a planner that keeps a seat which it knows before the list does when the
+/// endpoint restarts: a group would count as complete with a member that never joined it.
 #[test]
-fn a_place_in_a_group_ends_with_the_life_that_had_it() {
+fn a_seat_in_a_group_ends_with_a_restart() {
     let mut router = Router::planner(fleet(0));
     let seat = router.state().endpoints[&InstanceId::new("e2")]
         .entry
         .seat
         .clone();
-    let known = (seat.expect("a place"), crate::fixture::MODEL.into());
+    let known = (seat.expect("a seat"), crate::fixture::MODEL.into());
     router
         .state()
         .plan
         .seats
         .insert(InstanceId::new("e2"), known);
-    router.change("e2", Some(reborn(2)));
+    router.change("e2", Some(restarted(2)));
     let view = &router.state().endpoints[&InstanceId::new("e2")];
     assert_eq!(view.entry.seat, None);
-    assert_eq!(view.last, None, "it holds nothing of before");
+    assert_eq!(view.last, None, "it holds no model of before the restart");
 }
 
-/// An address that answers made the planner wait for a head that had started again, and
-/// then for the group to break: more than four seconds without the group.
+/// Guards against a planner that takes a head for alive because its address answers, though it
+/// has restarted: the group would be missing for over 4 s, until it counts as broken.
 #[test]
 fn a_group_whose_head_has_started_again_is_formed_anew_at_once() {
     let mut router = Router::planner(fleet(1));
     router.pass(100);
     router.take();
-    router.change("e1", Some(reborn(1)));
+    router.change("e1", Some(restarted(1)));
     router.pass(200);
     let joins = router.joins();
     assert!(!joins.is_empty(), "its members and the spare form a group");
@@ -95,7 +96,7 @@
     let mut router = Router::planner(fleet(1));
     router.pass(100);
     router.take();
-    router.change("e3", Some(reborn(3)));
+    router.change("e3", Some(restarted(3)));
     router.pass(200);
     let effects = router.take();
     let leaves = effects
@@ -104,13 +105,13 @@
     assert!(leaves, "its head leaves before anyone joins anew");
 }
 
-/// A report may tell of the next life before the list does.
+/// A probe may show a restart before the list does.
 #[test]
-fn a_report_of_a_next_life_voids_what_the_list_says() {
+fn a_report_after_a_restart_overrides_the_list() {
     let mut router = Router::planner(fleet(1));
     router.pass(100);
     let alive = LookResult::Alive {
-        born: Some(BORN + 30_000),
+        born: Some(STARTED_MS + 30_000),
         seat: None,
         pace: 1_000,
     };
@@ -119,12 +120,12 @@
     assert_eq!((view.entry.seat.clone(), view.entry.beats), (None, 0));
 }
 
-/// A store that has come back from a copy shows an endpoint as ready that has told since
-/// that it leaves, or that has left.
+/// Guards against entries of a store that was restored from a backup, which show an endpoint as
+/// ready that has announced since that it leaves, or that has left.
 #[test]
-fn an_older_entry_brings_back_neither_who_leaves_nor_who_has_left() {
+fn an_older_entry_revives_no_endpoint_that_leaves_or_has_left() {
     let (id, mut entry) = plain(1);
-    entry.born = Some(BORN);
+    entry.born = Some(STARTED_MS);
     entry.beats = 50;
     let mut router = Router::new(vec![(id.clone(), entry.clone())]);
     let mut leaving = entry.clone();
@@ -138,16 +139,20 @@
     assert!(!router.state().endpoints[&id].listed, "it has left");
     leaving.beats = 53;
     router.change(id.as_str(), Some(leaving));
-    assert!(router.state().endpoints[&id].listed, "it beats again");
+    assert!(
+        router.state().endpoints[&id].listed,
+        "it has a new heartbeat"
+    );
 }
 
-/// A platform that doesn't tell when lives began in all that it says is no restart.
+/// Guards against taking an endpoint for restarted because its report carries a start time, which
+/// its entry lacks.
 #[test]
-fn a_report_alone_that_tells_of_a_birth_is_no_restart() {
+fn a_start_time_in_a_report_alone_is_no_restart() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.pass(100);
     let alive = LookResult::Alive {
-        born: Some(BORN),
+        born: Some(STARTED_MS),
         seat: None,
         pace: 1_000,
     };
--- a/tests/direct/names.rs
+++ b/tests/direct/names.rs
@@ -1,8 +1,8 @@
-//! Nothing outside the adapter knows the platform's names.
+//! The platform's names are used by the adapter only, and the adapter stays small and stateless.
 
 use std::path::Path;
 
-/// Names that only the adapter may know.
+/// Names that only the adapter may use.
 const NAMES: [&str; 12] = [
     "X-Attempt-Id",
     "x-attempt-id",
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_platforms_names_stand_in_its_folder_only() {
+fn the_platforms_names_are_used_in_its_folder_only() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for dir in ["src", "testkit/src", "benches", "examples"] {
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from an older copy: revisions, leases and keys of some seconds
-//! are gone, and revisions are given out again.
+//! A store that is restored from a backup: the leases, keys and revisions of the last seconds
+//! are gone, and the revisions are used again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use testkit::direct::config;
 use testkit::direct::{fleet, logs, served, until};
 
-/// Writes that a store forgets, and as many that follow: the count passes where it was.
+/// Writes that the store loses. Where twice as many follow, revisions pass the earlier ones.
 const LOST: usize = 300;
 
-/// A watch went on from a revision of the lost history: once the new count had passed it,
-/// a configuration below it was never seen.
+/// Guards against a watch that goes on from a revision of before the restore: once revisions have
+/// passed it, it never sees a configuration written below it.
 #[test]
-fn a_configuration_written_after_a_restore_is_in_force_though_the_count_has_passed() {
+fn a_configuration_written_after_a_restore_is_applied_though_revisions_have_passed_the_old_ones() {
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(4, dir.path());
     let copy = standin.world().copy();
     standin.world().write_unrelated(LOST);
-    // Watches end and go on behind what was written.
+    // Watches end, and would go on from the last revision that they saw.
     standin.world().store_down = true;
     std::thread::sleep(Duration::from_millis(200));
     {
@@ -49,15 +49,15 @@
     );
 }
 
-/// Fences follow the store's revisions: after it had gone back endpoints refused every order
-/// of the planner.
+/// Guards against fences that fall with the store's revisions after a restore, so that endpoints
+/// refuse every order of the planner.
 #[test]
-fn groups_are_repaired_after_the_store_has_gone_back() {
+fn groups_are_repaired_after_the_store_was_restored() {
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(5, dir.path());
     let copy = standin.world().copy();
     standin.world().write_unrelated(LOST);
-    // Whoever plans takes the duty anew, at a revision that the copy doesn't reach.
+    // The planner lease is taken anew, at a revision above those of the copy.
     let mut routers = routers;
     routers
         .iter_mut()
@@ -84,7 +84,7 @@
     assert!(broken.is_empty(), "{broken:?}");
 }
 
-/// A router that plans, and the store then comes back from a copy.
+/// A planner whose store was just restored from a backup.
 fn restored_planner() -> Router {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(0));
@@ -93,9 +93,9 @@
     router
 }
 
-/// A lease of the lost history may be somebody else's now.
+/// After a restore the number of the lost lease may be given to another router.
 #[test]
-fn the_duty_ends_with_the_history_in_which_it_was_taken() {
+fn the_planner_lease_ends_when_the_store_is_restored() {
     let mut router = restored_planner();
     assert!(!router.holds());
     router.pass(1_500);
@@ -109,7 +109,7 @@
 
 /// Endpoints refuse a fence lower than the one they have seen, and groups an earlier epoch.
 #[test]
-fn a_fence_of_a_later_history_is_above_every_earlier_one() {
+fn a_fence_of_a_later_era_is_above_every_earlier_one() {
     let before = StorePosition {
         era: 0,
         revision: 1_000_000,
@@ -124,7 +124,7 @@
     assert!(router.state().plan.duty.fence > FENCE as u64);
 }
 
-/// A router that has just started didn't see the store go back, but its own keys tell.
+/// A router that has just started didn't see the restore, but the routers' keys show it.
 #[test]
 fn a_router_that_starts_after_a_restore_waits_as_well() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
@@ -140,16 +140,16 @@
     assert!(router.holds());
 }
 
-/// A planner's word about a history that is over held readers back from the next one.
+/// Guards against digests about an earlier era that keep routers from reading the next one.
 #[test]
-fn a_digest_of_another_history_stands_in_for_nothing() {
+fn a_digest_of_another_era_suspends_no_reading() {
     let routers = ["r0", "r1"].map(InstanceId::new);
     let mut router = Router::named("r1", &routers, open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(0));
-    hear_of(&mut router, 1, 0, FENCE);
+    receive_digest(&mut router, 1, 0, FENCE);
     assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
-    // Its sender knows already that the store has gone back.
-    hear_of(&mut router, 2, 1, 1);
+    // Its sender already knows that the store was restored.
+    receive_digest(&mut router, 2, 1, 1);
     assert_eq!(pace(&mut router), Some((ListPace::Rest, false)));
     router.tell(DirectEvent::StoreEra(1));
     router.tell(DirectEvent::List {
@@ -159,16 +159,16 @@
         },
         entries: open_group("g", [1, 2, 3]),
     });
-    hear_of(&mut router, 3, 1, 2);
+    receive_digest(&mut router, 3, 1, 2);
     assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
     router.pass(1_300);
     router.take();
-    // Another sender doesn't know it yet.
-    hear_of(&mut router, 4, 0, FENCE + 900);
+    // Another sender doesn't know that yet.
+    receive_digest(&mut router, 4, 0, FENCE + 900);
     assert_eq!(pace(&mut router), None);
 }
 
-fn hear_of(router: &mut Router, number: u64, era: u64, revision: i64) {
+fn receive_digest(router: &mut Router, number: u64, era: u64, revision: i64) {
     let upto = StorePosition { era, revision };
     let digest = Digest {
         fence: upto.fence(),
@@ -177,14 +177,14 @@
     hear(router, digest);
 }
 
-/// An older document of the operators is told and changes nothing.
+/// An older document of the operators is logged and changes nothing.
 #[test]
 fn the_routing_in_force_stays_when_the_store_shows_an_older_one() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::Routing(Arc::new(routing(5))));
     router.done.clear();
     router.tell(DirectEvent::Routing(Arc::new(routing(4))));
-    let told = |e: &Effect| matches!(e, Effect::Note(n) if n.code == NoteCode::RoutingOlder);
-    assert!(router.done.iter().any(told));
+    let is_logged = |e: &Effect| matches!(e, Effect::Note(n) if n.code == NoteCode::RoutingOlder);
+    assert!(router.done.iter().any(is_logged));
     assert_eq!(router.state().routing.as_ref().map(|r| r.version), Some(5));
 }
