--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -537,7 +537,7 @@
     assert!(cut > 0);
 }
 
-/// Size in bytes of the longest_entry datagram of a planner whose list changes by so many endpoints,
+/// Size in bytes of the longest datagram of a planner whose list changes by so many endpoints,
 /// which are new, are leaving, or are gone.
 fn longest_datagrams(count: usize) -> [usize; 3] {
     let mut planner = Router::named("r0", &names(2), Vec::new());
