--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -35,7 +35,7 @@
             send::again(state, now, id, false, "no connection", out);
         }
         RunPart::Broken => {
-            crashes::broke(state, now, id, out);
+            crashes::on_run_broken(state, now, id, out);
             endpoints::broke_off(state, now, id);
             endpoints::failed(state, now, id, false, out);
             endpoints::release(state, id);
--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -2,24 +2,24 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Crash, CRASHES};
+use super::{Crash, MIN_BLOCKING_CRASHES};
 
-/// Most crashes that are remembered of one request.
-const MOST: usize = 8;
+/// Largest number of crashes that one record holds.
+const MAX_CRASHES: usize = 8;
 
-/// What one request has done to endpoints.
+/// The crashes of endpoints that one request may have caused.
 ///
-/// Both sets only grow, so that what two routers know merges by union, in any order.
+/// Both sets only grow, so that the records of two routers are merged by union.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// Endpoints that crashed while they had begun it or were about to.
+    /// Crashes of endpoints that ran the request and had sent no event of its answer.
     pub crashes: BTreeSet<Crash>,
-    /// Crashes that it is cleared of, as it was answered whole afterwards.
+    /// Crashes that no longer count, as the request was answered in full afterwards.
     pub cleared: BTreeSet<Crash>,
 }
 
 impl CrashRecord {
-    /// A record of one crash.
+    /// Creates a record of one crash.
     pub fn of(crash: Crash) -> Self {
         Self {
             crashes: BTreeSet::from([crash]),
@@ -27,21 +27,21 @@
         }
     }
 
-    /// Crashes that count against the request.
+    /// Number of crashes that count against the request.
     pub fn suspected(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
     }
 
-    /// Whether the request is refused.
-    pub fn blocks(&self) -> bool {
-        self.suspected() >= CRASHES
+    /// Whether routers refuse the request.
+    pub fn is_blocked(&self) -> bool {
+        self.suspected() >= MIN_BLOCKING_CRASHES
     }
 
-    /// Takes in what another record knows; false where that is nothing new.
+    /// Adds the crashes of another record; returns whether this one has changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let known = self.crashes.len() + self.cleared.len();
         for crash in &other.crashes {
-            if self.crashes.len() < MOST {
+            if self.crashes.len() < MAX_CRASHES {
                 self.crashes.insert(crash.clone());
             }
         }
@@ -51,7 +51,7 @@
         self.crashes.len() + self.cleared.len() > known
     }
 
-    /// Clears the request of all crashes so far; false where there are none.
+    /// Marks all crashes so far as cleared; returns whether one of them still counted.
     pub fn clear(&mut self) -> bool {
         let any = self.suspected() > 0;
         self.cleared = self.crashes.clone();
--- a/src/logic/direct/crashes/crash_report.rs
+++ b/src/logic/direct/crashes/crash_report.rs
@@ -3,24 +3,25 @@
 use super::CrashRecord;
 use crate::logic::direct::Fingerprint;
 
-/// What a router tells others of a request that may crash endpoints.
+/// What a router sends to others, and writes to the key-value service, about a request that
+/// may crash endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
     pub request: Fingerprint,
-    /// What is known of it.
+    /// Its crashes.
     pub record: CrashRecord,
 }
 
 impl CrashReport {
-    /// Most bytes that it takes in a datagram.
-    pub fn bytes(&self) -> usize {
-        /// Names of fields, and a fingerprint.
-        const FRAME: usize = 80;
-        /// Names of the fields of a crash, and a time.
-        const CRASH: usize = 30;
+    /// Upper bound of its size in a datagram, in bytes.
+    pub fn max_bytes(&self) -> usize {
+        /// The names of the fields and the fingerprint.
+        const FRAME_BYTES: usize = 80;
+        /// The names of the fields of a crash and its time, without the endpoint's id.
+        const CRASH_BYTES: usize = 30;
         let all = self.record.crashes.iter().chain(&self.record.cleared);
-        let ids = all.map(|c| CRASH + c.endpoint.as_str().len());
-        FRAME + ids.sum::<usize>()
+        let ids = all.map(|c| CRASH_BYTES + c.endpoint.as_str().len());
+        FRAME_BYTES + ids.sum::<usize>()
     }
 }
--- a/src/logic/direct/crashes/crash_state.rs
+++ b/src/logic/direct/crashes/crash_state.rs
@@ -5,34 +5,35 @@
 use crate::logic::router::CallId;
 use crate::types::{InstanceId, Millis};
 
-/// What a router knows of requests that crash endpoints.
+/// What a router knows about requests that crash endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CrashState {
-    /// What requests have done to endpoints.
+    /// Crashes by request.
     pub table: CrashTable,
-    /// Endpoints that may have crashed.
-    pub doubts: BTreeMap<InstanceId, Doubt>,
-    /// Requests that are no suspects, as they were answered whole lately.
+    /// Endpoints that may have crashed and are probed.
+    pub suspected_crashes: BTreeMap<InstanceId, Doubt>,
+    /// Requests that were answered in full recently, and are not suspected of crashes.
     pub served: RecentlyServed,
-    /// What is told to other routers again: when, and how often still.
-    pub untold: BTreeMap<Fingerprint, (Millis, u32)>,
-    /// What is written to the key-value service.
+    /// Requests whose records are broadcast to other routers: when next, and how many times
+    /// more.
+    pub pending_reports: BTreeMap<Fingerprint, (Millis, u32)>,
+    /// Writes to the key-value service.
     pub keep: Keep,
-    /// Requests that were refused, in this life of the process.
+    /// Number of requests refused since the process started.
     pub refused: u64,
 }
 
-/// Writes requests that are refused to the key-value service, so that routers which start
-/// later know them.
+/// State of the writes of blocked requests to the key-value service, from which routers that
+/// start later read them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Keep {
-    /// What is to be written, and from when on.
+    /// Requests whose records are to be written, and from when on.
     pub queue: BTreeMap<Fingerprint, Millis>,
-    /// What is being written.
+    /// The request whose record is being written.
     pub current: Option<Fingerprint>,
-    /// Lease that it is written under.
+    /// Lease that its key is attached to.
     pub lease: Option<i64>,
-    /// The call that is under way.
+    /// The call that has not been answered yet.
     pub call: Option<CallId>,
     /// When the next call may be made.
     pub next_at: Millis,
--- a/src/logic/direct/crashes/crash_table.rs
+++ b/src/logic/direct/crashes/crash_table.rs
@@ -4,92 +4,93 @@
 use crate::logic::direct::Fingerprint;
 use crate::types::Millis;
 
-/// Most requests that are remembered. Of more, those with the fewest crashes are forgotten
-/// first, so that many suspects don't push out a request that is refused.
-const MOST: usize = 1_024;
+/// Largest number of records. Beyond it, the record with the fewest crashes is evicted first,
+/// so that many suspected requests don't evict one that is blocked.
+const MAX_RECORDS: usize = 1_024;
 
-/// Time after its last crash that a request is remembered for. A request that is refused
-/// never shows that it does no harm any more, as after a new version of the service, so
-/// that it gets another chance then.
-pub(super) const REMEMBERED_MS: Millis = 600_000;
+/// Time after its last change that a record is kept for. A blocked request is never sent, so
+/// it can't show that it has become harmless, say with a new version of the service: once its
+/// record has expired, it is sent again.
+pub(super) const RETENTION_MS: Millis = 600_000;
 
-/// What requests have done to endpoints.
+/// The crash records of requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CrashTable {
-    records: BTreeMap<Fingerprint, Known>,
+    records: BTreeMap<Fingerprint, TableEntry>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Known {
+struct TableEntry {
     record: CrashRecord,
-    /// When something was last learnt of it.
-    at: Millis,
+    /// When a merge last changed the record.
+    updated_at: Millis,
 }
 
 impl CrashTable {
-    /// What is known of a request.
+    /// The record of a request, if there is one.
     pub fn get(&self, request: &Fingerprint) -> Option<&CrashRecord> {
-        self.records.get(request).map(|k| &k.record)
+        self.records.get(request).map(|e| &e.record)
     }
 
-    /// Crashes that count against a request.
+    /// Number of crashes that count against a request.
     pub fn suspected(&self, request: &Fingerprint) -> usize {
         self.get(request).map_or(0, CrashRecord::suspected)
     }
 
-    /// Whether a request is refused.
-    pub fn blocks(&self, request: &Fingerprint) -> bool {
-        self.get(request).is_some_and(CrashRecord::blocks)
+    /// Whether routers refuse a request.
+    pub fn is_blocked(&self, request: &Fingerprint) -> bool {
+        self.get(request).is_some_and(CrashRecord::is_blocked)
     }
 
-    /// Requests that are refused.
+    /// The requests that routers refuse.
     pub fn blocked(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        let blocked = self.records.iter().filter(|(_, k)| k.record.blocks());
+        let blocked = self.records.iter().filter(|(_, e)| e.record.is_blocked());
         blocked.map(|(request, _)| *request)
     }
 
-    /// Requests that are remembered.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Takes in what is known of a request; false where that is nothing new.
+    /// Adds the crashes of a record to that of a request; returns whether it has changed.
     pub fn merge(&mut self, now: Millis, request: Fingerprint, record: &CrashRecord) -> bool {
-        let known = self.records.entry(request).or_default();
-        let changed = known.record.merge(record);
+        let entry = self.records.entry(request).or_default();
+        let changed = entry.record.merge(record);
         if changed {
-            known.at = now;
+            entry.updated_at = now;
         }
-        if known.record.crashes.is_empty() {
+        if entry.record.crashes.is_empty() {
             self.records.remove(&request);
         }
-        self.make_room();
+        self.evict_least();
         changed
     }
 
-    /// Clears a request of all crashes so far; false where there are none.
+    /// Marks all crashes of a request as cleared; returns whether one of them still counted.
     pub fn clear(&mut self, request: &Fingerprint) -> bool {
-        let known = self.records.get_mut(request);
-        known.is_some_and(|k| k.record.clear())
+        let entry = self.records.get_mut(request);
+        entry.is_some_and(|e| e.record.clear())
     }
 
-    /// Forgets what was learnt long ago.
-    pub fn tend(&mut self, now: Millis) {
-        self.records.retain(|_, k| now < k.at + REMEMBERED_MS);
+    /// Removes the records that have not changed for the retention time.
+    pub fn remove_expired(&mut self, now: Millis) {
+        self.records
+            .retain(|_, e| now < e.updated_at + RETENTION_MS);
     }
 
-    fn make_room(&mut self) {
-        if self.records.len() <= MOST {
+    fn evict_least(&mut self) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let least = |(_, k): &(&Fingerprint, &Known)| (k.record.suspected(), k.at);
-        let least = self.records.iter().min_by_key(least);
-        if let Some(request) = least.map(|(request, _)| *request) {
+        let fewest = |(_, e): &(&Fingerprint, &TableEntry)| (e.record.suspected(), e.updated_at);
+        let fewest = self.records.iter().min_by_key(fewest);
+        if let Some(request) = fewest.map(|(request, _)| *request) {
             self.records.remove(&request);
         }
     }
--- a/src/logic/direct/crashes/doubt.rs
+++ b/src/logic/direct/crashes/doubt.rs
@@ -3,17 +3,19 @@
 use crate::logic::direct::Fingerprint;
 use crate::types::Millis;
 
-/// An endpoint that may have crashed, and the requests that it may have crashed by.
+/// An endpoint that may have crashed, and the requests that may have caused it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Doubt {
-    /// When its life had begun.
+    /// When the endpoint process started, in Unix milliseconds; absent where
+    /// the platform doesn't report it.
     pub born: Option<u64>,
-    /// Requests that had just begun there; none once it has answered.
+    /// Requests whose run there broke off before its first event; empty once a probe has
+    /// decided, or the endpoint is no longer probed.
     pub requests: BTreeSet<Fingerprint>,
-    /// Whether the answer to a look is awaited.
-    pub looking: bool,
-    /// When it may be looked at next.
+    /// Whether the result of a probe is awaited.
+    pub probe_pending: bool,
+    /// When the next probe may be sent.
     pub next_at: Millis,
-    /// Looks without an answer.
+    /// Number of probes without an answer.
     pub misses: u32,
 }
--- a/src/logic/direct/crashes/keep.rs
+++ b/src/logic/direct/crashes/keep.rs
@@ -1,37 +1,39 @@
-//! Keeps requests that are refused in the key-value service, for routers that start later.
+//! Writes the records of blocked requests to the key-value service, for routers that start
+//! later.
 //!
-//! Routers that run hear of them by datagram, so that nothing waits for the service.
+//! Running routers receive them by datagram, so that nothing waits for the service.
 
 use std::collections::BTreeMap;
 
-use super::crash_table::REMEMBERED_MS;
+use super::crash_table::RETENTION_MS;
 use super::{share, CrashReport, Keep};
 use crate::logic::direct::{DirectState, Fingerprint};
 use crate::logic::router::{Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::Millis;
 
-/// Prefix of the keys.
+/// Prefix of the keys, which end in the fingerprint of the request.
 const PREFIX: &str = "runrail/crashes/";
 
-/// Length of the lease that a key lies under, in seconds.
-const LEASE_S: u64 = REMEMBERED_MS / 1_000;
+/// Time to live of the lease that a key is attached to, which is how long a router keeps a
+/// record.
+const LEASE_S: u64 = RETENTION_MS / 1_000;
 
-/// Pause after a call that failed.
-const AGAIN_MS: Millis = 500;
+/// Delay before the next call after one that failed.
+const RETRY_DELAY_MS: Millis = 500;
 
-/// Time over which routers spread their writes to a service that has come back from a copy.
-const SPREAD_MS: Millis = 5_000;
+/// Time over which routers spread their writes after the service was restored from a backup.
+const WRITE_SPREAD_MS: Millis = 5_000;
 
 fn key(request: &Fingerprint) -> String {
     format!("{PREFIX}{request}")
 }
 
-/// Writes what is to be kept, one call at a time; a router that stops does so as well.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Writes the records that are due, one call at a time, also while the router shuts down.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let table = &state.crashes.table;
     let keep = &mut state.crashes.keep;
-    keep.queue.retain(|request, _| table.blocks(request));
+    keep.queue.retain(|request, _| table.is_blocked(request));
     if keep.call.is_some() || now < keep.next_at {
         return;
     }
@@ -42,13 +44,14 @@
     };
     let op = match keep.lease {
         None => StoreCall::Grant { ttl_s: LEASE_S },
-        Some(lease) => write(state, request, lease, out),
+        Some(lease) => swap_call(state, request, lease, out),
     };
     let call = state.call(op, out);
     state.crashes.keep.call = Some(call);
 }
 
-fn write(
+/// The call that writes the record of a request under a lease.
+fn swap_call(
     state: &DirectState,
     request: Fingerprint,
     lease: i64,
@@ -60,7 +63,7 @@
         record: record.unwrap_or_default(),
     };
     let value = serde_json::to_string(&report).unwrap_or_else(|e| {
-        out.push(unread(&request.to_string(), &e.to_string()));
+        out.push(invalid_record(&request.to_string(), &e.to_string()));
         String::new()
     });
     StoreCall::Swap {
@@ -75,8 +78,8 @@
     }
 }
 
-/// A call has been answered.
-pub(in crate::logic::direct) fn answered(
+/// Handles the result of a call: the lease is granted first, then the record is written.
+pub(in crate::logic::direct) fn on_store_reply(
     state: &mut DirectState,
     now: Millis,
     result: &StoreResult,
@@ -93,26 +96,26 @@
         }
         _ => {
             keep.lease = None;
-            keep.next_at = now + AGAIN_MS;
+            keep.next_at = now + RETRY_DELAY_MS;
         }
     }
 }
 
-/// The own keys were read whole.
-pub(in crate::logic::direct) fn read(
+/// Merges the records among the keys that runrail has in the key-value service.
+pub(in crate::logic::direct) fn on_store_entries(
     state: &mut DirectState,
     now: Millis,
     entries: &[StoreEntry],
     out: &mut Vec<Effect>,
 ) {
     for entry in entries {
-        learn(state, now, &entry.key, &entry.value, out);
+        merge_stored(state, now, &entry.key, &entry.value, out);
     }
 }
 
-/// Own keys have changed. A key that has gone changes nothing here: each router forgets by
-/// its own time.
-pub(in crate::logic::direct) fn changed(
+/// Merges the records among the changed keys. A deleted key has no effect: each router lets
+/// its records expire by itself.
+pub(in crate::logic::direct) fn on_watch_changes(
     state: &mut DirectState,
     now: Millis,
     changes: &[StoreChange],
@@ -120,38 +123,45 @@
 ) {
     for change in changes {
         if let Some(value) = &change.value {
-            learn(state, now, &change.key, value, out);
+            merge_stored(state, now, &change.key, value, out);
         }
     }
 }
 
-fn learn(state: &mut DirectState, now: Millis, key: &str, value: &str, out: &mut Vec<Effect>) {
+fn merge_stored(
+    state: &mut DirectState,
+    now: Millis,
+    key: &str,
+    value: &str,
+    out: &mut Vec<Effect>,
+) {
     if !key.starts_with(PREFIX) {
         return;
     }
     match serde_json::from_str::<CrashReport>(value) {
         Ok(report) => {
-            share::learn(state, now, &report, out);
-            // Of several routers that write the same one is enough.
+            share::merge_report(state, now, &report, out);
+            // The record is stored already: this router needn't write it as well.
             state.crashes.keep.queue.remove(&report.request);
         }
-        Err(e) => out.push(unread(key, &e.to_string())),
+        Err(e) => out.push(invalid_record(key, &e.to_string())),
     }
 }
 
-fn unread(key: &str, why: &str) -> Effect {
-    let note = Note::new(NoteCode::CrashesUnread)
+fn invalid_record(key: &str, why: &str) -> Effect {
+    let event = Note::new(NoteCode::CrashesUnread)
         .with("key", key)
         .with("why", why);
-    Effect::Note(note)
+    Effect::Note(event)
 }
 
-/// The service has come back from an older copy: what it may lack is written again.
-pub(in crate::logic::direct) fn restored(state: &mut DirectState, now: Millis) {
+/// Schedules all records of blocked requests to be written again, as the key-value service was
+/// restored from a backup that may lack them.
+pub(in crate::logic::direct) fn on_store_restored(state: &mut DirectState, now: Millis) {
     let blocked: Vec<_> = state.crashes.table.blocked().collect();
     let mut queue = BTreeMap::new();
     for request in blocked {
-        queue.insert(request, now + state.random(SPREAD_MS));
+        queue.insert(request, now + state.random(WRITE_SPREAD_MS));
     }
     state.crashes.keep = Keep {
         queue,
--- a/src/logic/direct/crashes/mod.rs
+++ b/src/logic/direct/crashes/mod.rs
@@ -1,11 +1,12 @@
 //! Requests that crash the endpoints that run them.
 //!
 //! A run that breaks off before its first event makes its request a suspect, and its
-//! endpoint is looked at. Where that has died, the crash is counted against the request,
-//! at all routers. A request with as many crashes as [`CRASHES`] is refused.
+//! endpoint is probed. If that has crashed, the crash is counted against the request, at all
+//! routers. A request with [`MIN_BLOCKING_CRASHES`] crashes is refused.
 //!
-//! Others are suspected with it, as a crash ends all that had just begun there. They are
-//! unlikely to be there again at another crash, and a whole answer clears them.
+//! A crash breaks off all runs of the endpoint, so that other requests are suspected as well.
+//! They are unlikely to run at the endpoint of the next crash too, and are cleared once they
+//! are answered in full.
 
 mod crash;
 mod crash_record;
@@ -26,9 +27,9 @@
 pub use doubt::Doubt;
 pub use recently_served::RecentlyServed;
 
-pub(super) use keep::{answered, changed, read, restored};
-pub(super) use share::told;
-pub(super) use suspect::{broke, is_risky, looked, refusal, survived, tend};
+pub(super) use keep::{on_store_entries, on_store_reply, on_store_restored, on_watch_changes};
+pub(super) use share::on_crash_reports;
+pub(super) use suspect::{is_risky, on_answered, on_probe_result, on_run_broken, on_tick, refusal};
 
-/// Crashes of endpoints after which a request is refused.
-pub(super) const CRASHES: usize = 3;
+/// Number of crashes from which on a request is refused.
+pub(super) const MIN_BLOCKING_CRASHES: usize = 3;
--- a/src/logic/direct/crashes/recently_served.rs
+++ b/src/logic/direct/crashes/recently_served.rs
@@ -3,31 +3,31 @@
 use crate::logic::direct::Fingerprint;
 use crate::types::Millis;
 
-/// Most answers that are remembered.
-const MOST: usize = 4_096;
+/// Largest number of answers that are kept.
+const MAX_ANSWERS: usize = 4_096;
 
-/// Time for which an answer is remembered.
-const REMEMBERED_MS: Millis = 60_000;
+/// Time for which an answer is kept.
+const RETENTION_MS: Millis = 60_000;
 
-/// Requests that were answered whole lately.
+/// Requests that were answered in full recently.
 ///
-/// Callers may send the same harmless request many times a second, so that some of it is at
-/// work at every crash.
+/// Callers may send the same harmless request many times a second, so that one of them is in
+/// flight at every crash without having caused it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecentlyServed {
-    /// When each was last answered.
+    /// When each request was last answered.
     last: BTreeMap<Fingerprint, Millis>,
-    /// Answers, the oldest first.
+    /// All answers kept, the oldest first.
     answers: VecDeque<(Millis, Fingerprint)>,
 }
 
 impl RecentlyServed {
-    /// Remembers an answer.
+    /// Adds an answer, and removes those that are too old or too many.
     pub fn record(&mut self, now: Millis, request: Fingerprint) {
         self.last.insert(request, now);
         self.answers.push_back((now, request));
         while let Some((at, oldest)) = self.answers.front().copied() {
-            if self.answers.len() <= MOST && now < at + REMEMBERED_MS {
+            if self.answers.len() <= MAX_ANSWERS && now < at + RETENTION_MS {
                 break;
             }
             self.answers.pop_front();
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Whether a request was answered lately.
+    /// Whether a request was answered within the retention time.
     pub fn contains(&self, now: Millis, request: &Fingerprint) -> bool {
         let last = self.last.get(request);
-        last.is_some_and(|at| now < at + REMEMBERED_MS)
+        last.is_some_and(|at| now < at + RETENTION_MS)
     }
 }
--- a/src/logic/direct/crashes/share.rs
+++ b/src/logic/direct/crashes/share.rs
@@ -1,108 +1,115 @@
-//! Tells other routers which requests endpoints have crashed under.
+//! Exchanges crash records with the other routers.
 
 use super::{suspect, CrashReport};
 use crate::logic::direct::{DirectEffect, DirectState, Fingerprint, PeerMessage};
 use crate::logic::Effect;
 use crate::types::Millis;
 
-/// How often a change is told: datagrams may be lost.
-const TIMES: u32 = 3;
+/// How many times a changed record is sent to each router, as datagrams may be lost.
+const MAX_SENDS: u32 = 3;
 
-/// Time between two tellings of a change.
-const AGAIN_MS: Millis = 300;
+/// Time between two sends of the same record.
+const RESEND_DELAY_MS: Millis = 300;
 
-/// Time within which a router that has found out what is refused has written it.
-const WRITTEN_MS: Millis = 1_000;
+/// Time that the router which blocked a request gets to write its record to the key-value
+/// service before the routers that it informed do; each waits up to as long again at random.
+const WRITE_DELAY_MS: Millis = 1_000;
 
-/// Bytes of reports in one datagram, which leaves room for the rest of it.
-const BYTES: usize = 1_100;
+/// Size of the reports in one datagram, which leaves room for its other parts.
+const MAX_REPORT_BYTES: usize = 1_100;
 
-/// Remembers that something new is known of a request.
-pub(super) fn note(state: &mut DirectState, now: Millis, request: Fingerprint) {
-    state.crashes.untold.insert(request, (now, TIMES));
+/// Schedules the changed record of a request for sending to the other routers.
+pub(super) fn schedule_broadcast(state: &mut DirectState, now: Millis, request: Fingerprint) {
+    state
+        .crashes
+        .pending_reports
+        .insert(request, (now, MAX_SENDS));
 }
 
-/// Tells all other routers what is due.
-pub(super) fn tell(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Sends the records that are due to all other routers.
+pub(super) fn send_due(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let crashes = &mut state.crashes;
     let mut reports = Vec::new();
-    for (request, (next_at, times)) in &mut crashes.untold {
+    for (request, (next_at, sends_left)) in &mut crashes.pending_reports {
         if now < *next_at {
             continue;
         }
-        *next_at = now + AGAIN_MS;
-        *times -= 1;
+        *next_at = now + RESEND_DELAY_MS;
+        *sends_left -= 1;
         if let Some(record) = crashes.table.get(request) {
             let (request, record) = (*request, record.clone());
             reports.push(CrashReport { request, record });
         }
     }
-    crashes.untold.retain(|_, (_, times)| *times > 0);
-    for part in parts(reports) {
+    crashes
+        .pending_reports
+        .retain(|_, (_, sends_left)| *sends_left > 0);
+    for datagram in split_reports(reports) {
         for to in state.peers.values().copied() {
-            let message = PeerMessage::Crashes(part.clone());
+            let message = PeerMessage::Crashes(datagram.clone());
             out.push(Effect::Direct(DirectEffect::Tell { to, message }));
         }
     }
 }
 
-/// Divides reports among datagrams.
-fn parts(reports: Vec<CrashReport>) -> Vec<Vec<CrashReport>> {
-    let mut parts: Vec<Vec<CrashReport>> = Vec::new();
-    let mut room = 0;
+/// Divides reports among datagrams. A report that is too large for one gets its own.
+fn split_reports(reports: Vec<CrashReport>) -> Vec<Vec<CrashReport>> {
+    let mut datagrams: Vec<Vec<CrashReport>> = Vec::new();
+    let mut bytes_left = 0;
     for report in reports {
-        let bytes = report.bytes();
-        match parts.last_mut().filter(|_| bytes <= room) {
-            Some(part) => part.push(report),
+        let bytes = report.max_bytes();
+        match datagrams.last_mut().filter(|_| bytes <= bytes_left) {
+            Some(datagram) => datagram.push(report),
             None => {
-                room = BYTES;
-                parts.push(vec![report]);
+                bytes_left = MAX_REPORT_BYTES;
+                datagrams.push(vec![report]);
             }
         }
-        room = room.saturating_sub(bytes);
+        bytes_left = bytes_left.saturating_sub(bytes);
     }
-    parts
+    datagrams
 }
 
-/// Another router has told what it knows. What is refused only by what both know together
-/// is told on. Whoever told it may be gone before it has written what is refused, so that
-/// this router does so as well, unless the key-value service shows it by then.
-pub(in crate::logic::direct) fn told(
+/// Merges the reports of another router. A request that is blocked only by the crashes of
+/// both records together is sent on. One that the other router has blocked by itself may not
+/// be in the key-value service yet when that router ends, so that this one writes it as well
+/// after a delay, unless the service shows it by then.
+pub(in crate::logic::direct) fn on_crash_reports(
     state: &mut DirectState,
     now: Millis,
     reports: &[CrashReport],
     out: &mut Vec<Effect>,
 ) {
     for report in reports {
-        if !learn(state, now, report, out) {
+        if !merge_report(state, now, report, out) {
             continue;
         }
-        let together = !report.record.blocks();
-        let pause = if together {
+        let combined = !report.record.is_blocked();
+        let delay = if combined {
             0
         } else {
-            WRITTEN_MS + state.random(WRITTEN_MS)
+            WRITE_DELAY_MS + state.random(WRITE_DELAY_MS)
         };
-        state.crashes.keep.queue.insert(report.request, now + pause);
-        if together {
-            note(state, now, report.request);
+        state.crashes.keep.queue.insert(report.request, now + delay);
+        if combined {
+            schedule_broadcast(state, now, report.request);
         }
     }
 }
 
-/// Takes in what is known of a request; true where it is refused from now on.
-pub(super) fn learn(
+/// Merges a report; returns whether the request is blocked from now on and was not before.
+pub(super) fn merge_report(
     state: &mut DirectState,
     now: Millis,
     report: &CrashReport,
     out: &mut Vec<Effect>,
 ) -> bool {
     let table = &mut state.crashes.table;
-    let before = table.blocks(&report.request);
+    let before = table.is_blocked(&report.request);
     table.merge(now, report.request, &report.record);
-    let newly = !before && table.blocks(&report.request);
-    if newly {
-        suspect::block(state, report.request, out);
+    let newly_blocked = !before && table.is_blocked(&report.request);
+    if newly_blocked {
+        suspect::end_in_flight(state, report.request, out);
     }
-    newly
+    newly_blocked
 }
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -1,24 +1,24 @@
-//! Finds the requests under which endpoints crash.
+//! Finds the requests that crash endpoints.
 
 use super::{share, Crash, CrashRecord, Doubt};
 use crate::logic::direct::{end, DirectEffect, DirectState, Fingerprint, LookResult, Problem};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{InstanceId, Millis};
 
-/// Crashes from which on a request is handled with care: it runs once at a time, and no
-/// router sends it again by itself.
-const RISKY: usize = 2;
+/// Number of crashes from which on a request is risky: only one of its kind is in flight at a
+/// time, and no router retries it after a run that may have begun.
+const MIN_RISKY_CRASHES: usize = 2;
 
-/// Shortest time between two looks at an endpoint that breaks answers off.
-const LOOK_AGAIN_MS: Millis = 400;
+/// Shortest time from the result of a probe to the next probe of the endpoint.
+const PROBE_INTERVAL_MS: Millis = 400;
 
-/// Looks without an answer after which an endpoint is no longer looked at: it may be cut
-/// off, which no request has done.
-const MISSES: u32 = 3;
+/// Number of probes without an answer after which an endpoint is no longer probed: the network to it may
+/// be cut, which no request has caused.
+const MAX_MISSES: u32 = 3;
 
-/// A run has broken off: its request is a suspect unless an event had come, or the same
-/// request was answered whole lately.
-pub(in crate::logic::direct) fn broke(
+/// Handles a run that broke off: its request is suspected unless an event had come, or the
+/// same request was answered in full recently.
+pub(in crate::logic::direct) fn on_run_broken(
     state: &mut DirectState,
     now: Millis,
     id: u64,
@@ -37,48 +37,59 @@
         return;
     }
     let at = run.at.clone();
-    let doubt = state.crashes.doubts.entry(at.clone()).or_default();
+    let doubt = state
+        .crashes
+        .suspected_crashes
+        .entry(at.clone())
+        .or_default();
     if doubt.requests.is_empty() {
         doubt.born = view.entry.born;
         doubt.misses = 0;
     }
     doubt.requests.insert(flight.fingerprint);
-    look(state, now, &at, out);
+    probe(state, now, &at, out);
 }
 
-/// Looks at an endpoint that may have crashed, unless that was done just now.
-fn look(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
+/// Probes an endpoint that may have crashed, unless a probe is pending or was just answered.
+fn probe(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
     let addr = state.endpoints.get(id).map(|v| v.entry.addr);
-    let doubt = state.crashes.doubts.get_mut(id);
+    let doubt = state.crashes.suspected_crashes.get_mut(id);
     let (Some(addr), Some(doubt)) = (addr, doubt) else {
         return;
     };
-    if !doubt.looking && now >= doubt.next_at {
-        doubt.looking = true;
+    if !doubt.probe_pending && now >= doubt.next_at {
+        doubt.probe_pending = true;
         let id = id.clone();
         out.push(Effect::Direct(DirectEffect::Look { id, addr }));
     }
 }
 
-/// An endpoint was looked at.
-pub(in crate::logic::direct) fn looked(
+/// Handles the result of a probe: counts a crash against all suspected requests of the
+/// endpoint if its process has ended. The suspicion is dropped if the process still runs or
+/// [`MAX_MISSES`] probes had no answer.
+pub(in crate::logic::direct) fn on_probe_result(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
     result: &LookResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some(doubt) = state.crashes.doubts.get_mut(id).filter(|d| d.looking) else {
+    let Some(doubt) = state
+        .crashes
+        .suspected_crashes
+        .get_mut(id)
+        .filter(|d| d.probe_pending)
+    else {
         return;
     };
-    doubt.looking = false;
-    doubt.next_at = now + LOOK_AGAIN_MS;
-    if matches!(result, LookResult::Silent) && doubt.misses + 1 < MISSES {
+    doubt.probe_pending = false;
+    doubt.next_at = now + PROBE_INTERVAL_MS;
+    if matches!(result, LookResult::Silent) && doubt.misses + 1 < MAX_MISSES {
         doubt.misses += 1;
         return;
     }
     let requests = std::mem::take(&mut doubt.requests);
-    if !is_over(doubt, result) {
+    if !has_ended(doubt, result) {
         return;
     }
     let crash = Crash {
@@ -86,68 +97,70 @@
         born: doubt.born,
     };
     for request in requests {
-        count(state, now, request, &CrashRecord::of(crash.clone()), out);
-        let note = Note::new(NoteCode::CrashCounted)
+        count_crash(state, now, request, &CrashRecord::of(crash.clone()), out);
+        let event = Note::new(NoteCode::CrashCounted)
             .with("fingerprint", request)
             .with("endpoint", id)
             .with("born", crash.born.unwrap_or(0))
             .with("crashes", state.crashes.table.suspected(&request));
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
-    share::tell(state, now, out);
+    share::send_due(state, now, out);
 }
 
-/// Whether the life of an endpoint that was doubted has ended.
-fn is_over(doubt: &Doubt, result: &LookResult) -> bool {
+/// Whether the suspected process has ended: nothing or another endpoint listens at its
+/// address, or it has started again since.
+fn has_ended(doubt: &Doubt, result: &LookResult) -> bool {
     match result {
         LookResult::Refused | LookResult::Replaced => true,
         LookResult::Alive { born, .. } => {
-            let lives = doubt.born.zip(*born);
-            lives.is_some_and(|(before, after)| after > before)
+            let starts = doubt.born.zip(*born);
+            starts.is_some_and(|(before, after)| after > before)
         }
         LookResult::Silent => false,
     }
 }
 
-/// Counts a crash against a request, at other routers as well.
-fn count(
+/// Counts a crash against a request, and schedules it for sending to the other routers.
+fn count_crash(
     state: &mut DirectState,
     now: Millis,
     request: Fingerprint,
     record: &CrashRecord,
     out: &mut Vec<Effect>,
 ) {
-    let blocked = state.crashes.table.blocks(&request);
+    let blocked = state.crashes.table.is_blocked(&request);
     if !state.crashes.table.merge(now, request, record) {
         return;
     }
-    share::note(state, now, request);
-    if !blocked && state.crashes.table.blocks(&request) {
+    share::schedule_broadcast(state, now, request);
+    if !blocked && state.crashes.table.is_blocked(&request) {
         state.crashes.keep.queue.insert(request, now);
-        block(state, request, out);
+        end_in_flight(state, request, out);
     }
 }
 
-/// A request is refused from now on: ends what waits of it or has not shown an event yet.
-pub(super) fn block(state: &mut DirectState, request: Fingerprint, out: &mut Vec<Effect>) {
+/// Ends the in-flight requests of a fingerprint that is blocked from now on, except those
+/// whose run has had an event.
+pub(super) fn end_in_flight(state: &mut DirectState, request: Fingerprint, out: &mut Vec<Effect>) {
     let record = state.crashes.table.get(&request);
     let ids = record.into_iter().flat_map(|r| r.crashes.iter());
     let ids: Vec<_> = ids.map(|c| c.endpoint.to_string()).collect();
-    let note = Note::new(NoteCode::RequestBlocked)
+    let event = Note::new(NoteCode::RequestBlocked)
         .with("fingerprint", request)
         .with("endpoints", ids.join(","));
-    out.push(Effect::Note(note));
-    let moves = |f: &crate::logic::direct::Flight| f.run.as_ref().is_some_and(|r| r.moved);
-    let flights = state.flights.iter();
-    let ended = flights.filter(|(_, f)| f.fingerprint == request && !moves(f));
+    out.push(Effect::Note(event));
+    let has_event = |f: &crate::logic::direct::Flight| f.run.as_ref().is_some_and(|r| r.moved);
+    let in_flight = state.flights.iter();
+    let ended = in_flight.filter(|(_, f)| f.fingerprint == request && !has_event(f));
     for id in ended.map(|(id, _)| *id).collect::<Vec<_>>() {
         state.crashes.refused += 1;
         end::forbid(state, id, out);
     }
 }
 
-/// A request was answered whole: it has crashed nothing there.
-pub(in crate::logic::direct) fn survived(
+/// Clears a request of earlier crashes, as it was answered in full.
+pub(in crate::logic::direct) fn on_answered(
     state: &mut DirectState,
     now: Millis,
     request: Fingerprint,
@@ -155,49 +168,62 @@
 ) {
     state.crashes.served.record(now, request);
     if state.crashes.table.clear(&request) {
-        let note = Note::new(NoteCode::CrashesCleared).with("fingerprint", request);
-        out.push(Effect::Note(note));
-        share::note(state, now, request);
-        share::tell(state, now, out);
+        let event = Note::new(NoteCode::CrashesCleared).with("fingerprint", request);
+        out.push(Effect::Note(event));
+        share::schedule_broadcast(state, now, request);
+        share::send_due(state, now, out);
     }
 }
 
-/// Why a request that has just come is refused, if it is.
+/// Why a request that has just arrived is refused, if it is: it is blocked, or it is risky and
+/// another one with its fingerprint is in flight.
 pub(in crate::logic::direct) fn refusal(
     state: &mut DirectState,
     request: &Fingerprint,
 ) -> Option<(Problem, &'static str)> {
-    if state.crashes.table.blocks(request) {
+    if state.crashes.table.is_blocked(request) {
         state.crashes.refused += 1;
-        return Some((Problem::CrashesEndpoints, "endpoints crashed under it"));
+        return Some((
+            Problem::CrashesEndpoints,
+            "endpoints crashed while running it",
+        ));
     }
-    let runs = |f: &crate::logic::direct::Flight| f.fingerprint == *request;
-    let risky = state.crashes.table.suspected(request) >= RISKY;
-    if risky && state.flights.values().any(runs) {
-        let again = Problem::NotRun(state.knobs.again_ms);
-        return Some((again, "it runs already, and endpoints crashed under it"));
+    let is_same = |f: &crate::logic::direct::Flight| f.fingerprint == *request;
+    let risky = state.crashes.table.suspected(request) >= MIN_RISKY_CRASHES;
+    if risky && state.flights.values().any(is_same) {
+        let retry = Problem::NotRun(state.knobs.again_ms);
+        return Some((
+            retry,
+            "already in flight, and endpoints crashed while running it",
+        ));
     }
     None
 }
 
-/// Whether a request is handled with care: crashes that aren't certain yet count as well.
+/// Whether a request is risky, counting also endpoints that may have crashed under it and are
+/// still being probed.
 pub(in crate::logic::direct) fn is_risky(state: &DirectState, request: &Fingerprint) -> bool {
-    let doubts = state.crashes.doubts.values();
-    let doubted = doubts.filter(|d| d.requests.contains(request)).count();
-    state.crashes.table.suspected(request) + doubted >= RISKY
+    let doubts = state.crashes.suspected_crashes.values();
+    let unconfirmed = doubts.filter(|d| d.requests.contains(request)).count();
+    state.crashes.table.suspected(request) + unconfirmed >= MIN_RISKY_CRASHES
 }
 
-/// Looks at endpoints where that is due, and tells other routers what is new.
-pub(in crate::logic::direct) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    state.crashes.table.tend(now);
-    let (doubts, endpoints) = (&mut state.crashes.doubts, &state.endpoints);
-    let open = |d: &Doubt| d.looking || !d.requests.is_empty() || now < d.next_at;
-    doubts.retain(|id, d| endpoints.contains_key(id) && open(d));
+/// Removes what has expired, sends the probes that are due, and passes changed records on to
+/// the other routers and the key-value service.
+pub(in crate::logic::direct) fn on_tick(
+    state: &mut DirectState,
+    now: Millis,
+    out: &mut Vec<Effect>,
+) {
+    state.crashes.table.remove_expired(now);
+    let (doubts, endpoints) = (&mut state.crashes.suspected_crashes, &state.endpoints);
+    let is_open = |d: &Doubt| d.probe_pending || !d.requests.is_empty() || now < d.next_at;
+    doubts.retain(|id, d| endpoints.contains_key(id) && is_open(d));
     let due = doubts.iter().filter(|(_, d)| !d.requests.is_empty());
     let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
     for id in due {
-        look(state, now, &id, out);
+        probe(state, now, &id, out);
     }
-    share::tell(state, now, out);
-    super::keep::tend(state, now, out);
+    share::send_due(state, now, out);
+    super::keep::on_tick(state, now, out);
 }
--- a/src/logic/direct/end.rs
+++ b/src/logic/direct/end.rs
@@ -18,7 +18,7 @@
     let Some(flight) = state.flights.remove(&id) else {
         return;
     };
-    crashes::survived(state, now, flight.fingerprint, out);
+    crashes::on_answered(state, now, flight.fingerprint, out);
     out.push(Effect::Direct(last));
     out.push(Effect::Note(
         Note::new(NoteCode::FlightAnswered)
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -218,7 +218,7 @@
         PeerMessage::Traffic => state.plan.traffic = true,
         PeerMessage::Silent { id } => plan::suspect(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rates::told(state, now, &id, rate, out),
-        PeerMessage::Crashes(reports) => crashes::told(state, now, &reports, out),
+        PeerMessage::Crashes(reports) => crashes::on_crash_reports(state, now, &reports, out),
         PeerMessage::Seen { number, sight } => plan::seen(state, number, sight),
     }
 }
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -202,7 +202,7 @@
     state.plan.duty.call = None;
     if let (DutyCall::Read, Ok(StoreReply::Entries { entries, .. })) = (what, &result) {
         peers::read(state, now, entries);
-        crashes::read(state, now, entries, out);
+        crashes::on_store_entries(state, now, entries, out);
     }
     let pause = jitter(state);
     let (era, settling) = (era(state), settling_ms(state));
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -20,12 +20,12 @@
             peers::answered(state, now, &result);
         }
         Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
-            crashes::answered(state, now, &result);
+            crashes::on_store_reply(state, now, &result);
         }
         Event::Store { call, result } => plan::answered(state, now, call, result, out),
         Event::Watch(changes) => {
             peers::changed(state, &changes);
-            crashes::changed(state, now, &changes, out);
+            crashes::on_watch_changes(state, now, &changes, out);
             plan::changed(state, now, &changes);
         }
         Event::WatchLost => plan::unwatched(state),
@@ -76,7 +76,7 @@
         DirectEvent::Rated { id, run, rate } => rates::named(state, now, &id, run, rate, out),
         DirectEvent::Looked { id, result } => {
             peers::looked(state, now, &id, &result, out);
-            crashes::looked(state, now, &id, &result, out);
+            crashes::on_probe_result(state, now, &id, &result, out);
             plan::looked(state, now, &id, result, out);
         }
         DirectEvent::Peer { from, message } => peers::said(state, now, from, message, out),
@@ -126,7 +126,7 @@
     endpoints::tend(state, now);
     rates::tend(state, now, out);
     peers::tend(state, now, out);
-    crashes::tend(state, now, out);
+    crashes::on_tick(state, now, out);
     demand::tend(state, now, out);
     plan::tend(state, now, out);
     wind_up(state, now, out);
--- a/src/logic/direct/store.rs
+++ b/src/logic/direct/store.rs
@@ -24,6 +24,6 @@
     digests.recent.clear();
     digests.list_until = 0;
     digests.routing_until = 0;
-    crashes::restored(state, now);
+    crashes::on_store_restored(state, now);
     plan::restored(state, now, out);
 }
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -246,11 +246,11 @@
         ..CrashRecord::default()
     };
     let mut first = record(&[1, 2]);
-    assert!(!first.merge(&record(&[2])) && !first.blocks());
-    assert!(first.merge(&record(&[2, 3])) && first.blocks());
+    assert!(!first.merge(&record(&[2])) && !first.is_blocked());
+    assert!(first.merge(&record(&[2, 3])) && first.is_blocked());
     assert!(first.clear());
     let mut second = record(&[1, 4]);
-    assert!(second.merge(&first) && !second.blocks());
+    assert!(second.merge(&first) && !second.is_blocked());
 }
 
 /// All routers start anew together: only the key-value service remembers.
@@ -366,10 +366,10 @@
     for n in 1..5_000 {
         table.merge(1_000 + n, name(n), &crash(n));
     }
-    assert!(table.blocks(&name(0)));
+    assert!(table.is_blocked(&name(0)));
     assert!(table.len() <= 1_024, "{}", table.len());
-    table.tend(1_000 + 600_000);
-    assert!(!table.blocks(&name(0)));
+    table.remove_expired(1_000 + 600_000);
+    assert!(!table.is_blocked(&name(0)));
 }
 
 /// What is told of crashes has to fit a datagram.
@@ -407,7 +407,7 @@
         router
             .state()
             .crashes
-            .untold
+            .pending_reports
             .insert(of(request).request, (0, 1));
     }
     router.pass(20);
