--- a/src/logic/effect.rs
+++ b/src/logic/effect.rs
@@ -6,10 +6,10 @@
 use crate::message::Message;
 use crate::types::{InstanceId, RequestId};
 
-/// What the host of a node has to do.
+/// An action that the host of a node carries out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Send a message on the session with a peer; dropped where there is none.
+    /// Send a message on the session with a peer; it is dropped if there is no session.
     Send {
         /// Receiver.
         to: InstanceId,
@@ -20,37 +20,37 @@
     Dial {
         /// The peer.
         to: InstanceId,
-        /// Where it listens.
+        /// Its listening address.
         addr: SocketAddr,
     },
     /// Close a session and stop dialling.
     Hangup(InstanceId),
     /// Call the platform's key-value service.
     Store {
-        /// Number echoed with the result.
+        /// Call number, echoed with the result.
         call: CallId,
         /// The call.
         op: StoreCall,
     },
-    /// Start the watch again from what was read last.
+    /// Start or restart the watch of the key-value service.
     Watch {
         /// First revision to report.
         from: i64,
     },
     /// Fetch the instance list.
     FetchList,
-    /// Order something of the endpoint.
+    /// Send an order to the endpoint.
     Endpoint(EndpointCall),
-    /// Give a caller the next part of its answer.
+    /// Pass the next part of an answer to its caller.
     Answer {
         /// The request.
         request: RequestId,
         /// The part.
         part: AnswerPart,
     },
-    /// Answer an operator.
+    /// Reply to an operator.
     Reply {
-        /// The operator's call.
+        /// Number of the operator's call.
         job: u64,
         /// The reply.
         reply: OperatorReply,
@@ -61,15 +61,15 @@
     Measure {
         /// Which metric.
         metric: super::router::Metric,
-        /// Client account.
+        /// Client account that it is recorded for.
         account: std::sync::Arc<str>,
-        /// Class.
+        /// Class that it is recorded for.
         class: std::sync::Arc<str>,
-        /// Milliseconds or a count.
+        /// A duration in milliseconds, or a count.
         value: u64,
     },
-    /// Something about direct links.
+    /// An action on direct links.
     Direct(DirectEffect),
-    /// End the process in order.
+    /// Exit the process.
     Exit,
 }
--- a/src/logic/endpoint_call.rs
+++ b/src/logic/endpoint_call.rs
@@ -5,7 +5,7 @@
 /// An order from an agent to its endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointCall {
-    /// Load a model's part.
+    /// Load this member's part of a model.
     Load(Box<LoadOrder>),
     /// Start or resume a request.
     Start(Box<StartOrder>),
@@ -13,7 +13,7 @@
     Cancel {
         /// The run.
         run: RunId,
-        /// Fence.
+        /// Epoch of the group; the endpoint refuses orders of older ones.
         epoch: u64,
     },
 }
--- a/src/logic/endpoint_event.rs
+++ b/src/logic/endpoint_event.rs
@@ -1,17 +1,17 @@
 use super::RunResult;
 use crate::message::RunId;
 
-/// What an endpoint answers to its agent.
+/// An event that an endpoint reports to its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointEvent {
-    /// A load order has ended.
+    /// A load order has succeeded or failed.
     Loaded {
-        /// Its fence.
+        /// Epoch of the order.
         epoch: u64,
-        /// Whether the endpoint has loaded.
+        /// Whether it succeeded.
         ok: bool,
     },
-    /// The next piece of a run.
+    /// The next piece of a run's answer.
     Piece {
         /// The run.
         run: RunId,
@@ -22,12 +22,12 @@
     Ended {
         /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         result: RunResult,
     },
-    /// Load of the endpoint, reported with a lag.
+    /// Capacity of the endpoint, reported with a lag.
     Status {
-        /// Requests it runs at once.
+        /// Number of requests that it runs at once.
         slots: u32,
     },
 }
--- a/src/logic/event.rs
+++ b/src/logic/event.rs
@@ -4,12 +4,12 @@
 use crate::message::Message;
 use crate::types::{InstanceId, RequestId};
 
-/// Everything a node reacts to.
+/// An input of a node's state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed; comes at least every [`TICK_MS`](Event::TICK_MS).
+    /// Periodic tick, at least every [`TICK_MS`](Event::TICK_MS).
     Tick,
-    /// The process was asked to stop in order.
+    /// The process was asked to shut down gracefully.
     Stop,
     /// A session with a peer has opened.
     Up(Peer),
@@ -22,16 +22,16 @@
         /// The message.
         message: Message,
     },
-    /// The endpoint beside an agent has answered.
+    /// The agent's endpoint has reported an event.
     Endpoint(EndpointEvent),
-    /// The platform's key-value service has answered, or hasn't.
+    /// A call of the platform's key-value service has been answered or has failed.
     Store {
-        /// Which call.
+        /// Number of the call.
         call: CallId,
         /// Its result.
         result: StoreResult,
     },
-    /// A watch has reported changes, in order.
+    /// The watch of the key-value service has reported changes, in order.
     Watch(Vec<StoreChange>),
     /// The watch was interrupted: changes may have been missed.
     WatchLost,
@@ -39,16 +39,16 @@
     List(ListReply),
     /// A caller has sent a request.
     Request(Box<CallerRequest>),
-    /// A caller has hung up.
+    /// A caller has closed its connection before the end of its answer.
     Gone(RequestId),
-    /// An operator asks for something.
+    /// An operator has made a call.
     Operator {
         /// Number of the operator's call, echoed in the reply.
         job: u64,
-        /// What is asked.
+        /// The call.
         call: OperatorCall,
     },
-    /// Something about direct links.
+    /// An event of direct links.
     Direct(DirectEvent),
 }
 
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,9 +1,9 @@
-//! Pure decisions: one reducer over all events, with effects as data.
+//! The decisions of all processes, as one reducer without side effects.
 //!
-//! [`step`] takes a [`Node`], the time and an [`Event`] and returns
-//! [`Effect`]s. It has no clock, no input or output and no threads; random
-//! numbers come from a seed in the state. The same code runs in the process,
-//! in the model check and in the benches.
+//! [`step`] takes a [`Node`], the time and an [`Event`], and returns the
+//! [`Effect`]s that the host has to carry out. It has no clock, no input or
+//! output and no threads, and draws random numbers from a seed in the state, so
+//! that the same code runs in the process, in the model check and in the benches.
 
 pub mod agent;
 pub mod direct;
--- a/src/logic/node.rs
+++ b/src/logic/node.rs
@@ -2,13 +2,13 @@
 use super::direct::DirectState;
 use super::router::RouterState;
 
-/// State of one process: a router, with agents or with direct links, or an agent.
+/// State of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Node {
-    /// A process on an entry instance.
+    /// A router that reaches endpoints through their agents.
     Router(Box<RouterState>),
-    /// A process beside an endpoint.
+    /// An agent, which runs beside an endpoint.
     Agent(Box<AgentState>),
-    /// A process on an entry instance that reaches endpoints by direct links.
+    /// A router that reaches endpoints by direct links.
     Direct(Box<DirectState>),
 }
--- a/src/logic/note.rs
+++ b/src/logic/note.rs
@@ -1,16 +1,16 @@
 use std::fmt;
 
-/// An event for the log and for the record that `explain` reads.
+/// An event for the process log and for the event log that `explain` reads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Note {
-    /// Which event.
+    /// Kind of the event.
     pub code: NoteCode,
-    /// Named values; never prompt text or keys.
+    /// Named values; they never hold prompt text or API keys.
     pub fields: Vec<(&'static str, String)>,
 }
 
 impl Note {
-    /// A note without fields.
+    /// Creates an event without fields.
     pub fn new(code: NoteCode) -> Self {
         Self {
             code,
@@ -24,7 +24,7 @@
         self
     }
 
-    /// Whether a field has this value, or a list with it.
+    /// Whether the value of a field is `subject`, or a comma-separated list that contains it.
     pub fn mentions(&self, subject: &str) -> bool {
         let listed = |value: &str| value.split(',').any(|part| part == subject);
         self.fields.iter().any(|(_, value)| listed(value))
@@ -41,29 +41,29 @@
     }
 }
 
-macro_rules! note_codes {
+macro_rules! log_codes {
     ($($name:ident = $number:literal $level:ident $title:literal;)*) => {
-        /// Numbered events; `docs/EVENTS.md` is their catalogue.
+        /// Kinds of log events, with numbers; `docs/EVENTS.md` lists them all.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum NoteCode {
             $(#[doc = $title] $name,)*
         }
 
         impl NoteCode {
-            /// Every code, in order of number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [NoteCode] = &[$(NoteCode::$name,)*];
 
-            /// Number in the catalogue; never given to another event.
+            /// Number of the code, which is never reused for another one.
             pub fn number(self) -> u16 {
                 match self { $(NoteCode::$name => $number,)* }
             }
 
-            /// Short text in the log.
+            /// Message text in the log.
             pub fn title(self) -> &'static str {
                 match self { $(NoteCode::$name => $title,)* }
             }
 
-            /// Level in the log.
+            /// Log level.
             pub fn level(self) -> log::Level {
                 match self { $(NoteCode::$name => log::Level::$level,)* }
             }
@@ -71,7 +71,7 @@
     };
 }
 
-note_codes! {
+log_codes! {
     Started = 100 Info "process started";
     Stopping = 101 Info "process asked to stop";
     Stopped = 102 Info "process ends with nothing left to do";
--- a/src/logic/peer.rs
+++ b/src/logic/peer.rs
@@ -1,13 +1,13 @@
 use super::PeerRole;
 use crate::types::InstanceId;
 
-/// An authenticated process at the other end of a session.
+/// The authenticated process at the other end of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Its instance.
+    /// Id of its instance.
     pub id: InstanceId,
-    /// Random number drawn when its process started.
+    /// Random number drawn at the start of the process, which tells it from earlier ones.
     pub incarnation: u64,
-    /// What it runs.
+    /// Role of the process.
     pub role: PeerRole,
 }
--- a/src/logic/peer_role.rs
+++ b/src/logic/peer_role.rs
@@ -1,11 +1,11 @@
 use serde::{Deserialize, Serialize};
 
-/// Which duty a process has.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerRole {
-    /// Entry instance.
+    /// A router on an entry instance.
     Router,
-    /// Beside an endpoint.
+    /// An agent beside an endpoint.
     Agent,
 }
--- a/src/logic/reducer.rs
+++ b/src/logic/reducer.rs
@@ -1,9 +1,9 @@
 use super::{agent, direct, router, Effect, Event, Node};
 use crate::types::Millis;
 
-/// Applies one event to a node and returns what is to be done.
+/// Applies one event to a node and returns the effects to carry out.
 ///
-/// `now` is the node's monotonic clock in milliseconds and never goes back.
+/// `now` is the time of the node's monotonic clock in milliseconds.
 pub fn step(node: &mut Node, now: Millis, event: Event) -> Vec<Effect> {
     let mut out = Vec::new();
     match node {
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -1,17 +1,17 @@
-/// Switches for the rules that carry safety.
+/// Switches for the rules that safety depends on.
 ///
-/// The binary only ever takes them by [`Default`], with every rule on; no
-/// setting reaches them. The model check turns them off one at a time and must
-/// then find a counterexample.
+/// The binary runs with [`Default`], which has every rule on; no setting changes
+/// them. The model check turns them off one at a time and must then find a
+/// counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// An agent that has just started grants nothing for one lease.
+    /// An agent grants no lease within one lease time of its start.
     pub start_wait: bool,
-    /// A leader counts a lease from when it asked, not from when it heard.
+    /// A leader counts a lease from the time of its request, not of the grant's arrival.
     pub early_clock: bool,
-    /// A member grants nothing else until its grant has run out.
+    /// A member grants no lease to another leader until its current grant has expired.
     pub exclusive_grant: bool,
-    /// Orders carry an epoch and older ones are refused.
+    /// An agent refuses work for a group or epoch that it doesn't lead.
     pub epoch_fence: bool,
     /// A claim is written before a request that may not be repeated is sent.
     pub claim_first: bool,
@@ -21,11 +21,12 @@
     pub bundle_refusal: bool,
     /// A router takes no work without recent proof that its bundle is the newest.
     pub head_proof: bool,
-    /// A leader hands work over only while it holds every member's lease.
+    /// A leader starts requests at its endpoint only while it holds the leases of all members.
     pub all_present: bool,
-    /// A router with an unsettled roll doesn't count as one that isn't ahead.
+    /// A router whose roll of a bundle is unsettled doesn't count as confirming that no bundle
+    /// is newer.
     pub settled_only: bool,
-    /// A query about a claimed key that never started also bars it from starting.
+    /// An agent that reports that a claimed request hasn't run also bars it from starting later.
     pub query_bars: bool,
 }
 
