--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -17,16 +17,16 @@
 use testkit::direct::FATAL;
 use testkit::direct::{fleet, send, until};
 
-/// Crashes after which a request is refused.
-const MOST: usize = 3;
+/// Number of crashes from which on a request is refused.
+const BLOCKING_CRASHES: usize = 3;
 
-/// Heads of open groups `g0` to `g9`.
-fn heads() -> Vec<(InstanceId, EndpointEntry)> {
+/// The members of open groups `g0` to `g9`.
+fn open_groups() -> Vec<(InstanceId, EndpointEntry)> {
     let group = |n: u16| open_group(&format!("g{n}"), [10 * n, 10 * n + 1, 10 * n + 2]);
     (0..10).flat_map(group).collect()
 }
 
-/// The request that crashes endpoints, under another number each time.
+/// A request that crashes endpoints: always the same content, under the given number.
 fn fatal(id: u64) -> DirectRequest {
     DirectRequest {
         content: Fingerprint::of(&[b"fatal"]),
@@ -34,8 +34,8 @@
     }
 }
 
-/// Sends a request that crashes each endpoint that begins it; returns which.
-fn crash(router: &mut Router, request: DirectRequest) -> Vec<InstanceId> {
+/// Sends a request that crashes each endpoint that begins it; returns the crashed endpoints.
+fn send_fatal(router: &mut Router, request: DirectRequest) -> Vec<InstanceId> {
     router.take();
     router.tell(DirectEvent::Request(Box::new(request)));
     let mut crashed = Vec::new();
@@ -56,47 +56,48 @@
             run,
             part: RunPart::Broken,
         });
-        find_dead(router);
+        answer_probes(router);
     }
 }
 
-/// Answers the looks at endpoints that have crashed.
-fn find_dead(router: &mut Router) {
-    let looks = router.done.iter().filter_map(|e| match e {
+/// Answers the probes of endpoints that have crashed: nothing listens there.
+fn answer_probes(router: &mut Router) {
+    let probes = router.done.iter().filter_map(|e| match e {
         Effect::Direct(DirectEffect::Look { id, .. }) => Some(id.to_string()),
         _ => None,
     });
-    for id in looks.collect::<Vec<_>>() {
+    for id in probes.collect::<Vec<_>>() {
         router.looked(&id, LookResult::Refused);
     }
 }
 
-/// What a request had done to endpoints was forgotten with each attempt, so that it was
-/// sent to one endpoint after the other for as long as its caller came back.
+/// Guards against crashes being counted per attempt only: the request would crash one endpoint
+/// after the other for as long as its caller sends it again.
 #[test]
 fn a_request_that_has_crashed_three_endpoints_is_not_sent_again() {
-    let mut router = Router::new(heads());
+    let mut router = Router::new(open_groups());
     let mut crashes = 0;
     for id in 0..6 {
-        crashes += crash(&mut router, fatal(id)).len();
+        crashes += send_fatal(&mut router, fatal(id)).len();
         router.pass(200);
     }
-    assert_eq!(crashes, MOST);
+    assert_eq!(crashes, BLOCKING_CRASHES);
 }
 
-/// Each router knew only what had crashed by its own doing.
+/// Guards against routers counting only the crashes of their own runs: the request would crash
+/// up to the limit at each router.
 #[test]
 fn a_request_that_has_crashed_three_endpoints_is_sent_by_no_router() {
     let routers = ["r1", "r2"].map(InstanceId::new);
-    let mut first = Router::named("r1", &routers, heads());
-    let mut second = Router::named("r2", &routers, heads());
-    let kept = |name: &str, port: u16| StoreEntry {
+    let mut first = Router::named("r1", &routers, open_groups());
+    let mut second = Router::named("r2", &routers, open_groups());
+    let store_entry = |name: &str, port: u16| StoreEntry {
         key: format!("runrail/router/{name}"),
         value: addr(port).to_string(),
         revision: 1,
     };
-    first.kept = vec![kept("r2", 2_001)];
-    second.kept = vec![kept("r1", 2_000)];
+    first.kept = vec![store_entry("r2", 2_001)];
+    second.kept = vec![store_entry("r1", 2_000)];
     let mut crashes = 0;
     for id in 0..6 {
         let (here, there) = if id % 2 == 0 {
@@ -104,7 +105,7 @@
         } else {
             (&mut second, &mut first)
         };
-        let crashed = crash(here, fatal(id));
+        let crashed = send_fatal(here, fatal(id));
         crashes += crashed.len();
         for gone in crashed {
             here.change(gone.as_str(), None);
@@ -116,36 +117,38 @@
             there.tell(DirectEvent::Peer { from, message });
         }
     }
-    assert_eq!(crashes, MOST);
+    assert_eq!(crashes, BLOCKING_CRASHES);
 }
 
-/// What a caller is told, if a request that has crashed nothing here isn't sent.
+/// Sends a request; returns the problem that its caller gets, if it is refused.
 fn refused(router: &mut Router, request: DirectRequest) -> Option<Problem> {
     router.take();
     router.tell(DirectEvent::Request(Box::new(request)));
     problem(&router.take())
 }
 
-/// The refusal is final and comes at once, also to callers whose request was on its way.
+/// While one copy of a risky request is in flight, another is refused as not run; once the
+/// request is blocked, the refusal is final.
 #[test]
-fn what_waits_of_a_request_that_crashes_endpoints_is_refused_with_the_rest() {
-    let mut router = Router::new(heads());
-    crash(&mut router, fatal(1));
+fn copies_of_a_risky_request_are_refused_at_once() {
+    let mut router = Router::new(open_groups());
+    send_fatal(&mut router, fatal(1));
     let second = router.ask_for(fatal(2));
     let at = run(&second).to.to_string();
     router.part(run(&second).run, RunPart::Head);
     assert_eq!(refused(&mut router, fatal(3)), Some(Problem::NotRun(400)));
     router.part(run(&second).run, RunPart::Broken);
     router.looked(&at, LookResult::Refused);
-    let told = refused(&mut router, fatal(4));
-    assert_eq!(told, Some(Problem::CrashesEndpoints));
+    let answer = refused(&mut router, fatal(4));
+    assert_eq!(answer, Some(Problem::CrashesEndpoints));
 }
 
-/// A stream that had shown events was at work there by chance.
+/// Guards against suspecting streams that ran at a crashed endpoint and had sent events
+/// already.
 #[test]
-fn a_stream_that_had_moved_on_is_no_suspect_of_a_crash() {
-    let mut router = Router::new(heads());
-    for id in 0..2 * MOST as u64 {
+fn a_stream_that_had_sent_events_is_not_suspected_of_a_crash() {
+    let mut router = Router::new(open_groups());
+    for id in 0..2 * BLOCKING_CRASHES as u64 {
         let sent = router.ask_for(fatal(id));
         let begun = run(&sent);
         router.part(begun.run, RunPart::Head);
@@ -156,11 +159,11 @@
     assert_eq!(router.state().crashes.table.len(), 0);
 }
 
-/// An endpoint that resets connections has not crashed.
+/// Guards against counting a reset connection as a crash while the endpoint still runs.
 #[test]
-fn an_answer_that_breaks_off_at_an_endpoint_that_lives_counts_against_nobody() {
-    let mut router = Router::new(heads());
-    for id in 0..2 * MOST as u64 {
+fn an_answer_broken_off_by_a_running_endpoint_counts_against_no_request() {
+    let mut router = Router::new(open_groups());
+    for id in 0..2 * BLOCKING_CRASHES as u64 {
         let sent = router.ask_for(fatal(id));
         router.part(run(&sent).run, RunPart::Broken);
         let alive = LookResult::Alive {
@@ -174,10 +177,11 @@
     assert!(router.state().crashes.table.is_empty());
 }
 
-/// An endpoint that is back under its id before anybody looks has crashed all the same.
+/// Guards against missing the crash of an endpoint that restarts under its id before the probe
+/// reaches it.
 #[test]
-fn a_later_life_at_the_same_address_tells_of_a_crash() {
-    let mut entries = heads();
+fn a_restart_at_the_same_address_counts_as_a_crash() {
+    let mut entries = open_groups();
     entries.iter_mut().for_each(|(_, e)| e.born = Some(100));
     let mut router = Router::new(entries);
     let sent = router.ask_for(fatal(1));
@@ -192,40 +196,50 @@
     assert_eq!(table.suspected(&fatal(1).content.by(Some("ann"))), 1);
 }
 
-/// Whoever was at two crashes by chance is not refused after a third.
+/// Guards against refusing a harmless request that was in flight at two crashes by chance and
+/// answered in full in between.
 #[test]
 fn a_request_that_is_answered_whole_is_cleared_of_earlier_crashes() {
-    let mut router = Router::new(heads());
-    assert_eq!(crash(&mut router, fatal(1)).len(), MOST - 1);
+    let mut router = Router::new(open_groups());
+    assert_eq!(
+        send_fatal(&mut router, fatal(1)).len(),
+        BLOCKING_CRASHES - 1
+    );
     router.pass(2_000);
     let sent = router.ask_for(fatal(2));
     router.part(run(&sent).run, RunPart::Head);
     router.part(run(&sent).run, piece(1));
     router.part(run(&sent).run, RunPart::End);
-    assert_eq!(crash(&mut router, fatal(3)).len(), MOST - 1);
+    assert_eq!(
+        send_fatal(&mut router, fatal(3)).len(),
+        BLOCKING_CRASHES - 1
+    );
 }
 
-/// Callers who send the same harmless request again and again have some of it at work at
-/// each crash.
+/// Guards against suspecting a harmless request that callers send all the time, so that one
+/// copy is in flight at each crash.
 #[test]
-fn a_request_that_was_answered_lately_is_no_suspect() {
-    let mut router = Router::new(heads());
+fn a_request_that_was_answered_recently_is_not_suspected() {
+    let mut router = Router::new(open_groups());
     let sent = router.ask_for(fatal(1));
     router.part(run(&sent).run, RunPart::Head);
     router.part(run(&sent).run, RunPart::End);
     for id in 2..6 {
-        crash(&mut router, fatal(id));
+        send_fatal(&mut router, fatal(id));
         router.pass(1_000);
     }
     assert!(router.state().crashes.table.is_empty());
     router.pass(60_000);
-    assert_eq!(crash(&mut router, fatal(9)).len(), MOST - 1);
+    assert_eq!(
+        send_fatal(&mut router, fatal(9)).len(),
+        BLOCKING_CRASHES - 1
+    );
     assert_eq!(router.state().crashes.table.len(), 1);
 }
 
-/// What is remembered of answers is bounded.
+/// The answers that are kept are bounded in number and age.
 #[test]
-fn answers_are_remembered_for_a_while_and_not_without_end() {
+fn recent_answers_are_bounded_in_number_and_age() {
     let name = |n: u64| Fingerprint::of(&[&n.to_be_bytes()]);
     let mut served = RecentlyServed::default();
     (0..10_000).for_each(|n| served.record(n, name(n)));
@@ -234,7 +248,8 @@
     assert!(!served.contains(9_999 + 60_000, &name(9_999)), "too old");
 }
 
-/// Two routers know of two crashes each; what they were told in between was lost.
+/// Two routers know of two crashes each, one of them the same, as the datagrams between them
+/// were lost.
 #[test]
 fn crashes_that_routers_know_of_add_up_and_each_counts_once() {
     let crash = |n: u64| Crash {
@@ -253,13 +268,14 @@
     assert!(second.merge(&first) && !second.is_blocked());
 }
 
-/// All routers start anew together: only the key-value service remembers.
+/// Guards against losing the blocked requests when all routers restart together: only the
+/// key-value service still has them.
 #[test]
 fn a_router_that_starts_later_reads_which_requests_are_refused() {
-    let mut router = Router::planner(heads());
+    let mut router = Router::planner(open_groups());
     router.take();
     (0..3).for_each(|id| {
-        crash(&mut router, fatal(id));
+        send_fatal(&mut router, fatal(id));
     });
     router.done.clear();
     router.pass(1_000);
@@ -277,14 +293,14 @@
         value: put.value,
         revision: 1,
     }];
-    later.begin(heads());
+    later.initialize(open_groups());
     later.pass(400);
-    let told = refused(&mut later, fatal(9));
-    assert_eq!(told, Some(Problem::CrashesEndpoints));
+    let answer = refused(&mut later, fatal(9));
+    assert_eq!(answer, Some(Problem::CrashesEndpoints));
 }
 
-/// Records of refused requests that a router has written.
-fn written(router: &Router) -> usize {
+/// Number of writes of crash records to the key-value service.
+fn crash_writes(router: &Router) -> usize {
     let puts = router.done.iter().filter(|e| match e {
         Effect::Store {
             op: StoreCall::Swap { puts, .. },
@@ -295,24 +311,25 @@
     puts.count()
 }
 
-/// The only router that had to write what is refused was told to stop, and all others ended
-/// before the next one came.
+/// Guards against losing a blocked request when the router that has to write it shuts down, and
+/// all others end before the next one starts.
 #[test]
-fn a_router_that_stops_still_writes_what_is_refused() {
-    let mut router = Router::new(heads());
-    for gone in crash(&mut router, fatal(1)) {
+fn a_router_that_shuts_down_still_writes_blocked_requests() {
+    let mut router = Router::new(open_groups());
+    for gone in send_fatal(&mut router, fatal(1)) {
         router.change(gone.as_str(), None);
     }
     router.feed(Event::Stop);
-    crash(&mut router, fatal(3));
+    send_fatal(&mut router, fatal(3));
     router.done.clear();
     router.pass(200);
-    assert_eq!(written(&router), 1);
+    assert_eq!(crash_writes(&router), 1);
 }
 
-/// Whoever told what is refused may end before it has written that.
+/// Guards against losing a blocked request when the router that reported it ends before it has
+/// written the record.
 #[test]
-fn what_is_refused_is_written_by_who_was_told_unless_the_service_shows_it() {
+fn a_router_that_receives_a_report_writes_it_unless_the_service_has_it() {
     let crash = |n: u64| Crash {
         endpoint: InstanceId::new(&format!("e{n}")),
         born: None,
@@ -324,8 +341,8 @@
             ..CrashRecord::default()
         },
     };
-    let told = || {
-        let mut router = Router::new(heads());
+    let informed = || {
+        let mut router = Router::new(open_groups());
         router.tell(DirectEvent::Peer {
             from: addr(2_000),
             message: PeerMessage::Crashes(vec![report.clone()]),
@@ -333,23 +350,26 @@
         router.done.clear();
         router
     };
-    let mut alone = told();
+    let mut alone = informed();
     alone.pass(500);
-    assert_eq!(written(&alone), 0, "the other one writes it");
+    assert_eq!(
+        crash_writes(&alone),
+        0,
+        "written before the other router had time to"
+    );
     alone.pass(2_000);
-    assert_eq!(written(&alone), 1);
-    let mut shown = told();
+    assert_eq!(crash_writes(&alone), 1);
+    let mut shown = informed();
     shown.feed(Event::Watch(vec![StoreChange {
         key: "runrail/crashes/x".into(),
         value: Some(serde_json::to_string(&report).expect("text")),
         revision: 9,
     }]));
     shown.pass(3_000);
-    assert_eq!(written(&shown), 0);
+    assert_eq!(crash_writes(&shown), 0);
 }
 
-/// Somebody who sends many requests that crash one endpoint each pushes none out that is
-/// refused.
+/// Guards against many requests with one crash each evicting the record of a blocked one.
 #[test]
 fn the_table_of_requests_is_bounded_and_keeps_those_that_are_refused() {
     let crash = |n: u64| {
@@ -372,10 +392,10 @@
     assert!(!table.is_blocked(&name(0)));
 }
 
-/// What is told of crashes has to fit a datagram.
+/// Each message with crash reports has to fit in a datagram.
 #[test]
 fn reports_of_many_crashes_fit_datagrams() {
-    let mut router = Router::new(heads());
+    let mut router = Router::new(open_groups());
     router
         .state()
         .peers
@@ -411,12 +431,12 @@
             .insert(of(request).request, (0, 1));
     }
     router.pass(20);
-    let said = router.said();
-    let told = said
+    let sent = router.said();
+    let reports = sent
         .iter()
         .filter(|(_, m)| matches!(m, PeerMessage::Crashes(_)));
     let mut count = 0;
-    for (_, message) in told {
+    for (_, message) in reports {
         let mut bytes = Vec::new();
         ciborium::into_writer(message, &mut bytes).expect("a message");
         assert!(bytes.len() <= 1_400, "{}", bytes.len());
@@ -425,7 +445,7 @@
     assert!(count > 1, "{count}");
 }
 
-/// The same with real processes: whoever sends it, and whichever router gets it.
+/// The limit of crashes holds with real processes, and for all routers together.
 #[test]
 fn processes_stop_sending_a_request_that_crashes_endpoints() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -440,7 +460,7 @@
     until("three crashes", Duration::from_secs(30), || {
         attempt(sent);
         sent += 1;
-        all - standin.alive().len() >= MOST
+        all - standin.alive().len() >= BLOCKING_CRASHES
     });
     until("a group serves again", Duration::from_secs(30), || {
         !standin.open_groups().is_empty()
@@ -448,5 +468,5 @@
     for n in 0..6 {
         attempt(sent + n);
     }
-    assert_eq!(all - standin.alive().len(), MOST);
+    assert_eq!(all - standin.alive().len(), BLOCKING_CRASHES);
 }
--- a/tests/direct/figures.rs
+++ b/tests/direct/figures.rs
@@ -1,4 +1,4 @@
-//! Figures as a scraper reads them.
+//! The metrics page, in the text format that a scraper reads.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 use runrail::observe::{exposition, LabelledCount, Metrics};
 
 #[test]
-fn figures_are_told_by_account_and_class() {
-    let mut metrics = Metrics::new(None).expect("metrics that go nowhere");
+fn metrics_are_labelled_by_account_and_class() {
+    let mut metrics = Metrics::new(None).expect("metrics without a destination");
     let account: Arc<str> = "ann".into();
     let class: Arc<str> = "/stream/".into();
     for ms in [20, 30, 400] {
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -1,4 +1,4 @@
-//! A router over its reducer, with a small fleet around it.
+//! A router that is driven through its reducer, with a small fleet of endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,38 +16,38 @@
     RouteSpec, Routing, SeatState, ServiceSpec, StorePosition,
 };
 
-/// Name of the large model.
+/// Name of the large model, whose groups have three instances.
 pub const MODEL: &str = "big";
-/// Fence that the planner gets.
+/// Fence of the planner lease: the store revision that took it.
 pub const FENCE: i64 = 7;
 
-/// A router, its time and what it has done since the last look.
+/// A router, its clock in milliseconds, and its effects since they were last taken.
 pub struct Router {
     node: Node,
     pub now: u64,
     pub done: Vec<Effect>,
-    /// What a reading of the own keys finds.
+    /// Entries that a read of runrail's keys in the key-value service returns.
     pub kept: Vec<StoreEntry>,
-    /// Whether the routing is read at once when that is asked for.
+    /// Whether a requested check of the routing is answered at once.
     pub checks: bool,
 }
 
 impl Router {
-    /// A router that knows the routing and the list, without the planner's duty.
+    /// A router that has the routing and the endpoint list, without the planner lease.
     pub fn new(entries: Vec<(InstanceId, EndpointEntry)>) -> Self {
         Self::started(1_000, entries)
     }
 
-    /// The same, started at a time.
+    /// The same, started at `now` in milliseconds.
     pub fn started(now: u64, entries: Vec<(InstanceId, EndpointEntry)>) -> Self {
         let mut router = Self::bare();
         router.now = now;
-        router.begin(entries);
+        router.initialize(entries);
         router
     }
 
-    /// Tells it the routing and the list.
-    pub fn begin(&mut self, entries: Vec<(InstanceId, EndpointEntry)>) {
+    /// Feeds the routing and the endpoint list.
+    pub fn initialize(&mut self, entries: Vec<(InstanceId, EndpointEntry)>) {
         self.tell(DirectEvent::Routing(Arc::new(routing(1))));
         self.tell(DirectEvent::List {
             at: at(FENCE),
@@ -55,7 +55,7 @@
         });
     }
 
-    /// A router that knows nothing yet, but may send retries beyond the ratio.
+    /// A router without routing and list, which may already retry beyond the ratio.
     pub fn bare() -> Self {
         let me = InstanceId::new("r1");
         let mut state = DirectState::new(me, "h1", 5, DirectKnobs::default());
@@ -70,8 +70,8 @@
         }
     }
 
-    /// A router of this name that knows the list and these routers, the first of which
-    /// plans.
+    /// A router of this name that has the routing, the list and the addresses of these routers,
+    /// the first of which holds the planner lease.
     pub fn named(
         me: &str,
         routers: &[InstanceId],
@@ -89,16 +89,16 @@
         {
             state.peers.insert(id.clone(), addr(2_000 + n as u16));
         }
-        router.begin(entries);
+        router.initialize(entries);
         router
     }
 
-    /// The same with the planner's duty.
+    /// A router that has the routing and the list, and holds the planner lease.
     pub fn planner(entries: Vec<(InstanceId, EndpointEntry)>) -> Self {
         let mut router = Self::new(entries);
         router.state().plan.traffic = true;
         router.pass(400);
-        assert!(router.holds(), "the duty was taken");
+        assert!(router.holds(), "the planner lease was not taken");
         router
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Feeds an event; the key-value service answers at once.
+    /// Feeds an event; calls of the key-value service are answered at once.
     pub fn feed(&mut self, event: Event) {
         let effects = step(&mut self.node, self.now, event);
         for effect in effects {
@@ -157,7 +157,7 @@
         self.feed(Event::Direct(event));
     }
 
-    /// Lets time pass in ticks.
+    /// Advances the clock by `ms` milliseconds, with a tick every 20 ms.
     pub fn pass(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -176,7 +176,7 @@
             .collect()
     }
 
-    /// What was said to other routers since the last look.
+    /// Takes the messages that were sent to other routers, and drops the other effects.
     pub fn said(&mut self) -> Vec<(SocketAddr, PeerMessage)> {
         let tells = self.take().into_iter().filter_map(|e| match e {
             DirectEffect::Tell { to, message } => Some((to, message)),
@@ -185,7 +185,7 @@
         tells.collect()
     }
 
-    /// Sends a request and returns what the router did about it.
+    /// Sends a request and returns the effects of it.
     pub fn ask(&mut self, id: u64, path: &str) -> Vec<DirectEffect> {
         self.ask_for(request(id, path))
     }
@@ -214,7 +214,8 @@
         self.tell(DirectEvent::Looked { id, result });
     }
 
-    /// Joins ordered so far, with their members.
+    /// Takes the effects, and returns the groups of more than one member that endpoints were
+    /// ordered to join, with their members.
     pub fn joins(&mut self) -> Vec<(String, Vec<String>)> {
         let effects = self.take();
         let mut joins: Vec<(String, Vec<String>)> = Vec::new();
@@ -234,7 +235,7 @@
     }
 }
 
-/// The order in an effect: its number, its endpoint, what is to be done.
+/// The order in an effect: its number, its endpoint and its step.
 pub fn order(effect: &DirectEffect) -> Option<(u64, String, &GroupStep)> {
     match effect {
         DirectEffect::Order {
@@ -247,7 +248,7 @@
     }
 }
 
-/// The only run in some effects.
+/// The first run among some effects.
 pub fn run(effects: &[DirectEffect]) -> RunRequest {
     let mut runs = effects.iter().filter_map(|e| match e {
         DirectEffect::Run(run) => Some((**run).clone()),
@@ -256,7 +257,7 @@
     runs.next().expect("a run")
 }
 
-/// The problem that a caller was told, if any.
+/// The problem of the first refusal among some effects, if any.
 pub fn problem(effects: &[DirectEffect]) -> Option<Problem> {
     effects.iter().find_map(|e| match e {
         DirectEffect::Refuse { problem, .. } => Some(*problem),
@@ -271,7 +272,7 @@
     }
 }
 
-/// A position of a store that has never come back from a copy.
+/// A position of a store that was never restored from a backup.
 pub fn at(revision: i64) -> StorePosition {
     StorePosition { era: 0, revision }
 }
@@ -296,17 +297,18 @@
     }
 }
 
-/// Requests that keep one group busy with reading for a second: 1,000 tokens each, at 50
-/// in a ms.
-const BUSY: f64 = 50.0;
+/// Requests per second that keep one group busy with reading their prompts: 1,000 tokens
+/// each, at 50 tokens per millisecond.
+const GROUP_REQUESTS_PER_S: f64 = 50.0;
 
-/// Callers who keep so many groups of the large and of the small model busy, for some
-/// seconds; each request is answered at once.
+/// Sends requests that would keep `large` groups of the large model and `small` groups of the
+/// small one busy, for some seconds; each request is answered at once.
 pub fn keep_busy(router: &mut Router, large: f64, small: f64, seconds: u64) {
     let mut id = 10_000;
     for _ in 0..seconds * 2 {
         let models = [(MODEL, large), ("small", small)];
-        let asked = models.map(|(model, groups)| (model, (groups * BUSY / 2.0).round() as u64));
+        let asked = models
+            .map(|(model, groups)| (model, (groups * GROUP_REQUESTS_PER_S / 2.0).round() as u64));
         for (model, _) in asked.iter().flat_map(|(m, n)| (0..*n).map(move |i| (m, i))) {
             id += 1;
             let mut asked = request(id, "/stream/x");
@@ -332,7 +334,7 @@
     router.take();
 }
 
-/// Routes `/stream/`, `/once/` and `/safe/`, and one model of three instances.
+/// Routes `/stream/`, `/once/` and `/safe/`, a model of three instances and one of two.
 pub fn routing(version: u64) -> Routing {
     let mut routing = Routing {
         version,
@@ -401,7 +403,7 @@
     (InstanceId::new(&format!("p{}", id)), entry)
 }
 
-/// An engine that holds the model, with a place in a group where one is given.
+/// An engine that has loaded the large model, with a seat in a group if one is given.
 pub fn engine(n: u16, seat: Option<GroupSeat>) -> (InstanceId, EndpointEntry) {
     let entry = EndpointEntry {
         service: "pool".into(),
@@ -428,13 +430,13 @@
     })
 }
 
-/// An open group of three, first of the numbers being the head.
+/// The members of an open group of three; the first number is the head's.
 pub fn open_group(name: &str, numbers: [u16; 3]) -> Vec<(InstanceId, EndpointEntry)> {
     let member = |(rank, n): (usize, u16)| engine(n, seat(name, rank, SeatState::Open));
     numbers.into_iter().enumerate().map(member).collect()
 }
 
-/// A digest of router `r0` without news, as of a position.
+/// A digest of router `r0` without endpoint updates, as of a position.
 pub fn empty_digest(number: u64, upto: StorePosition) -> Digest {
     Digest {
         root: InstanceId::new("r0"),
@@ -460,7 +462,8 @@
     });
 }
 
-/// The last word to the host on how the store is read.
+/// Takes the effects, and returns the last one that set how the store is read: the pace of the
+/// list, and whether reads of the routing are held.
 pub fn pace(router: &mut Router) -> Option<(ListPace, bool)> {
     let reads = router.take().into_iter().filter_map(|e| match e {
         DirectEffect::Read { list, hold, .. } => Some((list, hold)),
--- a/tests/direct/main.rs
+++ b/tests/direct/main.rs
@@ -1,4 +1,4 @@
-//! Routers with direct links: decisions, adapter and links, without the bench.
+//! Tests of routers with direct links: decisions, platform adapter and links.
 
 mod adapter;
 mod answers;
--- a/tests/direct/soak.rs
+++ b/tests/direct/soak.rs
@@ -1,4 +1,5 @@
-//! The whole path as real processes against the stand-in, with random faults.
+//! Tests with router processes against the stand-in of the platform and its endpoints, also
+//! under random faults.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 
 use testkit::direct::{call, fleet, logs, served, until, EVENTS};
 
-/// Seeds of the soak that runs with all tests.
+/// Seeds of the soak test.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 #[test]
@@ -18,13 +19,13 @@
     assert_eq!(once.status, 200, "{once:?}");
     let none = call(routers[0].callers, "GET", "/none/x", "x").expect("an answer");
     assert_eq!(none.status, 404);
-    let figures = call(routers[0].ready, "GET", "/metrics", "").expect("figures");
+    let metrics = call(routers[0].ready, "GET", "/metrics", "").expect("metrics");
     let counted = "runrail_total_ms_count{account=\"ann\",class=";
-    assert!(figures.body.contains(counted), "{}", figures.body);
+    assert!(metrics.body.contains(counted), "{}", metrics.body);
     assert!(
-        figures.body.contains("runrail_groups_open 1"),
+        metrics.body.contains("runrail_groups_open 1"),
         "{}",
-        figures.body
+        metrics.body
     );
     let callers = routers[0].callers;
     let streaming = std::thread::spawn(move || call(callers, "POST", "/stream/x", "last"));
@@ -35,7 +36,7 @@
         answer.complete && answer.events().len() as u64 == EVENTS,
         "{answer:?}"
     );
-    until("it ends in order", Duration::from_secs(10), || {
+    until("the router exits cleanly", Duration::from_secs(10), || {
         routers[0]
             .child
             .try_wait()
@@ -49,7 +50,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(5, dir.path());
     for round in 0..2 {
-        // The router may hear of the group later than the stand-in shows it.
+        // The router may learn of the group later than the stand-in shows it.
         until("the router serves", Duration::from_secs(5), || {
             served(&routers[round % 2], "again")
         });
@@ -72,8 +73,8 @@
     assert!(broken.is_empty(), "{broken:?}");
 }
 
-/// Faults in series and on top of each other; callers keep their connections open. More
-/// seeds, and longer, by hand: `cargo run -p testkit --bin soak -- --seeds 50`.
+/// Draws faults one after the other and overlapping, while callers keep their connections
+/// open. More seeds can be run by hand: `cargo run -p testkit --bin soak -- --seeds 50`.
 #[test]
 fn random_faults_break_no_promise() {
     let dir = tempfile::tempdir().expect("a folder");
--- a/tests/logic/budget.rs
+++ b/tests/logic/budget.rs
@@ -1,9 +1,10 @@
-//! Retries draw on what requests have earned.
+//! The retry budget: requests earn the tokens that retries spend.
 
 use runrail::logic::router::RetryBudget;
 
-/// Requests and retries of one life of a process.
-fn life(requests: u32) -> u32 {
+/// Number of retries that a process may send for so many requests, each of which is retried
+/// if the budget allows it, from its start.
+fn retries_of_process(requests: u32) -> u32 {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..requests {
@@ -13,10 +14,10 @@
     retries
 }
 
-/// Each start had retries saved up, so that a process which was killed again and again sent
-/// far more than a tenth of its requests anew.
+/// Guards against a budget that starts with tokens: a process that restarts again and again
+/// would retry far more than a tenth of its requests.
 #[test]
-fn lives_of_a_process_together_keep_to_the_share_of_their_requests() {
-    let retries: u32 = (0..5).map(|_| life(20)).sum();
+fn restarts_of_a_process_add_no_retries_to_its_share() {
+    let retries: u32 = (0..5).map(|_| retries_of_process(20)).sum();
     assert_eq!(retries, 5 * 20 / 10);
 }
--- a/tests/logic/fairness.rs
+++ b/tests/logic/fairness.rs
@@ -1,4 +1,4 @@
-//! Client accounts share a class; strict order between classes.
+//! Fair shares between client accounts of one class, and strict priority between classes.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     }
     assert!(
         order[..2].contains(&10),
-        "the small account waits: {order:?}"
+        "the small account is starved: {order:?}"
     );
 }
 
@@ -53,7 +53,7 @@
         running = started(&agent.end(running, RunResult::Complete(200)))[0].0;
         three += u32::from(running % 2 == 0);
     }
-    assert_eq!(three, 6, "of eight, three parts in four");
+    assert_eq!(three, 6, "three quarters of eight runs");
 }
 
 #[test]
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn what_cannot_end_before_its_deadline_is_refused_at_once() {
+fn a_request_that_cannot_end_before_its_deadline_is_refused_at_once() {
     let mut agent = Agent::open(slots(1));
     agent.order(1, "urgent", |_| {});
     agent.now += 1_000;
     agent.end(1, RunResult::Complete(200));
     agent.order(2, "urgent", |_| {});
-    let told = ends(&agent.order(3, "urgent", |o| o.left_ms = 1_200));
+    let refused = ends(&agent.order(3, "urgent", |o| o.left_ms = 1_200));
     assert!(
-        matches!(told[..], [(3, AttemptEnd::Refused(Refusal::TooLate(ms)))] if ms > 0),
-        "{told:?}"
+        matches!(refused[..], [(3, AttemptEnd::Refused(Refusal::TooLate(ms)))] if ms > 0),
+        "{refused:?}"
     );
     assert!(ends(&agent.order(4, "urgent", |o| o.left_ms = 9_000)).is_empty());
 }
@@ -89,9 +89,9 @@
     });
     agent.order(1, "urgent", |_| {});
     agent.order(2, "urgent", |_| {});
-    let told = ends(&agent.order(3, "urgent", |_| {}));
+    let refused = ends(&agent.order(3, "urgent", |_| {}));
     assert!(
-        matches!(told[..], [(3, AttemptEnd::Refused(Refusal::Full(_)))]),
-        "{told:?}"
+        matches!(refused[..], [(3, AttemptEnd::Refused(Refusal::Full(_)))]),
+        "{refused:?}"
     );
 }
--- a/tests/logic/fixture.rs
+++ b/tests/logic/fixture.rs
@@ -1,4 +1,4 @@
-//! An agent that leads an open group of its own, and orders for it.
+//! An agent that leads an open group of one member, and requests for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     Phase, RequestId,
 };
 
-/// An agent under test.
+/// An agent under test, and its clock in milliseconds.
 pub struct Agent {
     pub node: Node,
     pub now: Millis,
@@ -57,7 +57,8 @@
 }
 
 impl Agent {
-    /// An agent with an open group and the classes `urgent` and `drafting`.
+    /// An agent with an open group and the classes `urgent`, for which a slot is reserved, and
+    /// `drafting`, which can be paused.
     pub fn open(knobs: AgentKnobs) -> Self {
         let mut state = AgentState::new(InstanceId::new("x"), 1, 0, knobs);
         state.ready_at = 0;
@@ -70,7 +71,7 @@
             now: 1,
         };
         agent.feed(Event::Up(router()));
-        agent.hear(Message::Assign(Box::new(record())));
+        agent.receive(Message::Assign(Box::new(record())));
         agent.feed(Event::Endpoint(EndpointEvent::Loaded {
             epoch: 1,
             ok: true,
@@ -82,14 +83,14 @@
         step(&mut self.node, self.now, event)
     }
 
-    pub fn hear(&mut self, message: Message) -> Vec<Effect> {
+    pub fn receive(&mut self, message: Message) -> Vec<Effect> {
         self.feed(Event::Message {
             from: router(),
             message,
         })
     }
 
-    /// Sends an order; returns what came of it.
+    /// Sends an order to run a request, and returns its effects.
     pub fn order(
         &mut self,
         number: u64,
@@ -113,7 +114,7 @@
             prefix: String::new(),
         };
         change(&mut order);
-        self.hear(Message::Run(Box::new(order)))
+        self.receive(Message::Run(Box::new(order)))
     }
 
     pub fn piece(&mut self, number: u64, text: &str) -> Vec<Effect> {
@@ -139,7 +140,7 @@
     }
 }
 
-/// Numbers of the requests that effects hand to the endpoint, with their offsets.
+/// Numbers of the requests that the endpoint is ordered to start, with their offsets.
 pub fn started(effects: &[Effect]) -> Vec<(u64, u64)> {
     let start = |e: &Effect| match e {
         Effect::Endpoint(EndpointCall::Start(o)) => Some((o.run.request.number, o.offset)),
@@ -148,7 +149,7 @@
     effects.iter().filter_map(start).collect()
 }
 
-/// Numbers of the requests that effects tell the endpoint to stop.
+/// Numbers of the requests that the endpoint is ordered to stop.
 pub fn stopped(effects: &[Effect]) -> Vec<u64> {
     let stop = |e: &Effect| match e {
         Effect::Endpoint(EndpointCall::Cancel { run, .. }) => Some(run.request.number),
@@ -157,7 +158,7 @@
     effects.iter().filter_map(stop).collect()
 }
 
-/// Ends that effects tell routers.
+/// The ends of attempts that are reported to routers, with the numbers of their requests.
 pub fn ends(effects: &[Effect]) -> Vec<(u64, AttemptEnd)> {
     let end = |e: &Effect| match e {
         Effect::Send {
--- a/tests/logic/main.rs
+++ b/tests/logic/main.rs
@@ -1,4 +1,4 @@
-//! Focused tests of the reducer, one file a feature.
+//! Tests of agents and of routers that work with agents, one file per feature.
 
 mod budget;
 mod fairness;
--- a/tests/logic/pausing.rs
+++ b/tests/logic/pausing.rs
@@ -1,4 +1,5 @@
-//! Urgent work takes a slot from drafting, which goes on where it stood.
+//! Preemption: an urgent request takes the slot of one of class `drafting`, which resumes at
+//! its offset later.
 
 use runrail::logic::agent::AgentKnobs;
 use runrail::logic::{Event, RunResult};
@@ -6,7 +7,7 @@
 
 use crate::fixture::{ends, started, stopped, Agent};
 
-fn one_slot() -> AgentKnobs {
+fn two_slots() -> AgentKnobs {
     AgentKnobs {
         slots: 2,
         ..AgentKnobs::default()
@@ -15,7 +16,7 @@
 
 #[test]
 fn drafting_is_paused_for_urgent_work_and_resumed_at_its_offset() {
-    let mut agent = Agent::open(one_slot());
+    let mut agent = Agent::open(two_slots());
     assert_eq!(started(&agent.order(1, "drafting", |_| {})), [(1, 0)]);
     assert_eq!(started(&agent.order(2, "urgent", |_| {})), [(2, 0)]);
     agent.piece(1, "one ");
@@ -27,20 +28,20 @@
 }
 
 #[test]
-fn a_paused_request_is_never_said_not_to_have_run() {
-    let mut agent = Agent::open(one_slot());
+fn a_paused_request_is_never_reported_as_not_run() {
+    let mut agent = Agent::open(two_slots());
     agent.order(1, "drafting", |o| o.left_ms = 1_000);
     agent.order(2, "urgent", |_| {});
     agent.order(3, "urgent", |_| {});
     agent.end(1, RunResult::Cancelled);
     agent.now += 1_500;
-    let told = ends(&agent.feed(Event::Tick));
-    assert_eq!(told, [(1, AttemptEnd::Broken)]);
+    let ended = ends(&agent.feed(Event::Tick));
+    assert_eq!(ended, [(1, AttemptEnd::Broken)]);
 }
 
 #[test]
 fn a_slot_reserved_for_urgent_work_is_not_given_to_drafting() {
-    let mut agent = Agent::open(one_slot());
+    let mut agent = Agent::open(two_slots());
     assert_eq!(started(&agent.order(1, "drafting", |_| {})), [(1, 0)]);
     assert_eq!(started(&agent.order(2, "drafting", |_| {})), []);
     assert_eq!(started(&agent.order(3, "urgent", |_| {})), [(3, 0)]);
--- a/tests/logic/planning.rs
+++ b/tests/logic/planning.rs
@@ -1,4 +1,5 @@
-//! Plans for one fabric domain: gaps, trades, versions.
+//! Plans for one fabric domain: new groups, replaced members, and groups that are given up
+//! for others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
     ModelSpec,
 };
 
-/// A domain with its instances and what is known of them.
+/// A domain with its instances, their health, and the conditions of its groups.
 struct Domain {
     body: BundleBody,
     record: DomainRecord,
@@ -94,7 +95,8 @@
         })
     }
 
-    /// A member of a group is lost; returns its name.
+    /// Sets the health of the second member of a group and closes the group; returns the id of
+    /// the member.
     fn lose(&mut self, group: usize, health: Health) -> InstanceId {
         let group = &self.record.groups[group];
         let lost = group.members[1].instance.clone();
@@ -109,11 +111,11 @@
     let domain = Domain::new(9, vec![model("a", 2), model("b", 1)]);
     assert_eq!(domain.record.groups.len(), 2);
     assert_eq!(domain.record.shared_instance(), None);
-    assert!(domain.plan().is_none(), "nothing is left to do");
+    assert!(domain.plan().is_none(), "the plan changes again");
 }
 
 #[test]
-fn a_spare_fills_the_gap_under_a_new_epoch() {
+fn a_spare_replaces_a_lost_member_under_a_new_epoch() {
     let mut domain = Domain::new(5, vec![model("a", 1)]);
     let before = domain.record.groups[0].epoch;
     let lost = domain.lose(0, Health::Gone);
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn a_silent_member_keeps_its_place_for_the_time_of_a_load() {
+fn a_silent_member_is_replaced_only_after_the_wait_limit() {
     let mut domain = Domain::new(5, vec![model("a", 1)]);
     domain.lose(0, Health::Silent(29_000));
     assert!(domain.plan().is_none());
@@ -148,7 +150,10 @@
     assert!(domain.plan().is_none());
     let mut domain = Domain::new(8, vec![model("high", 5), model("low", 1)]);
     domain.lose(1, Health::Gone);
-    assert!(domain.plan().is_none(), "the valuable group serves on");
+    assert!(
+        domain.plan().is_none(),
+        "the group of higher value is given up"
+    );
 }
 
 #[test]
--- a/tests/logic/remembering.rs
+++ b/tests/logic/remembering.rs
@@ -1,4 +1,5 @@
-//! Keys of requests that may not be repeated, and their answers, are bounded.
+//! The keys of requests that may not be repeated are kept for a time, their answers within a
+//! limit of bytes.
 
 use runrail::logic::agent::AgentKnobs;
 use runrail::logic::{Effect, Event, RunResult};
@@ -15,7 +16,7 @@
 }
 
 fn recall(agent: &mut Agent, number: u64) -> Option<Recall> {
-    let effects = agent.hear(Message::Query {
+    let effects = agent.receive(Message::Query {
         run: run(99),
         once: once(number),
         incarnation: 1,
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn the_oldest_answers_make_room_but_their_keys_stay() {
+fn the_oldest_answers_are_evicted_but_their_keys_stay() {
     let mut agent = Agent::open(AgentKnobs {
         answers_bytes: 25,
         ..AgentKnobs::default()
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_key_is_forgotten_only_after_its_time() {
+fn a_key_expires_only_after_its_time() {
     let mut agent = Agent::open(AgentKnobs::default());
     answer(&mut agent, 1);
     agent.now += 9_000;
