--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -39,7 +39,7 @@
 
     /// Adds the crashes of another record; returns whether this one has changed.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let known = self.crashes.len() + self.cleared.len();
+        let before = self.crashes.len() + self.cleared.len();
         for crash in &other.crashes {
             if self.crashes.len() < MAX_CRASHES {
                 self.crashes.insert(crash.clone());
@@ -48,7 +48,7 @@
         let kept = other.cleared.intersection(&self.crashes).cloned();
         let kept: Vec<_> = kept.collect();
         self.cleared.extend(kept);
-        self.crashes.len() + self.cleared.len() > known
+        self.crashes.len() + self.cleared.len() > before
     }
 
     /// Marks all crashes so far as cleared; returns whether one of them still counted.
--- a/src/logic/direct/crashes/crash_state.rs
+++ b/src/logic/direct/crashes/crash_state.rs
@@ -14,12 +14,12 @@
     pub suspected_crashes: BTreeMap<InstanceId, Doubt>,
     /// Requests that were answered in full recently, and are not suspected of crashes.
     pub served: RecentlyServed,
-    /// Requests whose records are broadcast to other routers: when next, and how many times
-    /// more.
+    /// Requests whose records are still to be sent to the other routers: when next, and how
+    /// many times more.
     pub pending_reports: BTreeMap<Fingerprint, (Millis, u32)>,
     /// Writes to the key-value service.
     pub keep: Keep,
-    /// Number of requests refused since the process started.
+    /// Number of requests that were refused as blocked since the process started.
     pub refused: u64,
 }
 
--- a/src/logic/direct/crashes/doubt.rs
+++ b/src/logic/direct/crashes/doubt.rs
@@ -6,8 +6,8 @@
 /// An endpoint that may have crashed, and the requests that may have caused it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Doubt {
-    /// When the endpoint process started, in Unix milliseconds; absent where
-    /// the platform doesn't report it.
+    /// When the endpoint process started, in Unix milliseconds; absent where the platform
+    /// doesn't report it.
     pub born: Option<u64>,
     /// Requests whose run there broke off before its first event; empty once a probe has
     /// decided, or the endpoint is no longer probed.
@@ -16,6 +16,6 @@
     pub probe_pending: bool,
     /// When the next probe may be sent.
     pub next_at: Millis,
-    /// Number of probes without an answer.
+    /// Number of probes without an answer since the first of these requests.
     pub misses: u32,
 }
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -12,8 +12,8 @@
 /// Shortest time from the result of a probe to the next probe of the endpoint.
 const PROBE_INTERVAL_MS: Millis = 400;
 
-/// Number of probes without an answer after which an endpoint is no longer probed: the network to it may
-/// be cut, which no request has caused.
+/// Number of probes without an answer after which an endpoint is no longer probed: the network
+/// to it may be cut, which no request has caused.
 const MAX_MISSES: u32 = 3;
 
 /// Handles a run that broke off: its request is suspected unless an event had come, or the
@@ -200,8 +200,8 @@
     None
 }
 
-/// Whether a request is risky, counting also endpoints that may have crashed under it and are
-/// still being probed.
+/// Whether a request is risky, counting also the crashes that it is suspected of while the
+/// endpoints are still being probed.
 pub(in crate::logic::direct) fn is_risky(state: &DirectState, request: &Fingerprint) -> bool {
     let doubts = state.crashes.suspected_crashes.values();
     let unconfirmed = doubts.filter(|d| d.requests.contains(request)).count();
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -248,8 +248,8 @@
     assert!(!served.contains(9_999 + 60_000, &name(9_999)), "too old");
 }
 
-/// Two routers know of two crashes each, one of them the same, as the datagrams between them
-/// were lost.
+/// Guards against crashes being counted twice, or counted again after they were cleared, when
+/// the records of two routers are merged late because datagrams were lost.
 #[test]
 fn crashes_that_routers_know_of_add_up_and_each_counts_once() {
     let crash = |n: u64| Crash {
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -178,11 +178,11 @@
 
     /// Takes the messages that were sent to other routers, and drops the other effects.
     pub fn said(&mut self) -> Vec<(SocketAddr, PeerMessage)> {
-        let tells = self.take().into_iter().filter_map(|e| match e {
+        let messages = self.take().into_iter().filter_map(|e| match e {
             DirectEffect::Tell { to, message } => Some((to, message)),
             _ => None,
         });
-        tells.collect()
+        messages.collect()
     }
 
     /// Sends a request and returns the effects of it.
