--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -35,7 +35,7 @@
             send::again(state, now, id, false, "no connection", out);
         }
         RunPart::Broken => {
-            crashes::broke(state, now, id, out);
+            crashes::on_run_broken(state, now, id, out);
             endpoints::on_run_broken(state, now, id);
             endpoints::on_run_failure(state, now, id, false, out);
             endpoints::release_run(state, id);
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -20,12 +20,12 @@
             peers::on_store_reply(state, now, &result);
         }
         Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
-            crashes::answered(state, now, &result);
+            crashes::on_store_reply(state, now, &result);
         }
         Event::Store { call, result } => plan::answered(state, now, call, result, out),
         Event::Watch(changes) => {
             peers::on_watch_changes(state, &changes);
-            crashes::changed(state, now, &changes, out);
+            crashes::on_watch_changes(state, now, &changes, out);
             plan::changed(state, now, &changes);
         }
         Event::WatchLost => plan::unwatched(state),
@@ -81,7 +81,7 @@
         DirectEvent::Rated { id, run, rate } => rates::named(state, now, &id, run, rate, out),
         DirectEvent::Looked { id, result } => {
             peers::on_probe_result(state, now, &id, &result, out);
-            crashes::looked(state, now, &id, &result, out);
+            crashes::on_probe_result(state, now, &id, &result, out);
             plan::looked(state, now, &id, result, out);
         }
         DirectEvent::Peer { from, message } => peers::on_message(state, now, from, message, out),
@@ -135,7 +135,7 @@
     endpoints::on_tick(state, now);
     rates::tend(state, now, out);
     peers::on_tick(state, now, out);
-    crashes::tend(state, now, out);
+    crashes::on_tick(state, now, out);
     demand::on_tick(state, now, out);
     plan::tend(state, now, out);
     advance_shutdown(state, now, out);
