--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -1,4 +1,4 @@
-//! First step of a request: its route, its account, its time.
+//! First step of a request: finds its route, client account and deadline.
 
 use std::sync::Arc;
 
@@ -9,11 +9,12 @@
 use crate::logic::Effect;
 use crate::types::{Millis, RouteSpec, Routing};
 
-/// Shortest time that is worth a run, in milliseconds.
-const LEAST_WAIT: Millis = 1;
+/// Shortest time that a request is given, however little its caller waits.
+const MIN_WAIT_MS: Millis = 1;
 
-/// A caller has sent a request.
-pub(super) fn arrived(
+/// Handles a request from a caller. It is held while the routing or the endpoint list is
+/// unknown, or the routing is being read again after a pause of this process.
+pub(super) fn on_request(
     state: &mut DirectState,
     now: Millis,
     request: DirectRequest,
@@ -25,33 +26,37 @@
             request.id,
             &request.label,
             problem,
-            "this router stops",
+            "the router is shutting down",
             out,
         );
     }
-    let knows = state.routing.is_some() && state.listed && state.pause.since.is_none();
-    if knows || !queue::early(state, now, &request) {
-        taken(state, now, now, request, out);
+    let ready = state.routing.is_some() && state.listed && state.pause.waiting_since.is_none();
+    if ready || !queue::hold(state, now, &request) {
+        admit(state, now, now, request, out);
     }
 }
 
-/// Refuses a request because nothing is known here yet.
-pub(super) fn unknown(state: &mut DirectState, request: &DirectRequest, out: &mut Vec<Effect>) {
-    let problem = end::not_yet(state, request.wait_ms);
-    let why = "nothing is known yet";
+/// Refuses a request because the routing or the endpoint list is not known yet.
+pub(super) fn refuse_not_ready(
+    state: &mut DirectState,
+    request: &DirectRequest,
+    out: &mut Vec<Effect>,
+) {
+    let problem = end::not_yet_problem(state, request.wait_ms);
+    let why = "the routing or the endpoint list is not known yet";
     end::refuse(request.id, &request.label, problem, why, out);
 }
 
-/// Takes up a request that arrived at `at`.
-pub(super) fn taken(
+/// Admits a request that arrived at `arrived_at`, and sends it, enqueues it or refuses it.
+pub(super) fn admit(
     state: &mut DirectState,
     now: Millis,
-    at: Millis,
+    arrived_at: Millis,
     request: DirectRequest,
     out: &mut Vec<Effect>,
 ) {
     let Some(routing) = state.routing.clone().filter(|_| state.listed) else {
-        return unknown(state, &request, out);
+        return refuse_not_ready(state, &request, out);
     };
     let Some(route) = routing.route(&request.host, &request.path).cloned() else {
         return end::refuse(
@@ -67,7 +72,7 @@
             request.id,
             &request.label,
             Problem::NoAccount,
-            "no such key",
+            "missing or unknown API key",
             out,
         );
     };
@@ -81,7 +86,7 @@
             request.id,
             &request.label,
             Problem::NoRoute,
-            "no service",
+            "the route has no service",
             out,
         );
     };
@@ -113,24 +118,24 @@
         account,
         priority,
         turn: Turn::Fresh,
-        held: at + queue::hold(Some(wait)),
-        arrived: at,
-        deadline: at + wait.max(LEAST_WAIT),
+        wait_until: arrived_at + queue::max_wait(Some(wait)),
+        arrived: arrived_at,
+        deadline: arrived_at + wait.max(MIN_WAIT_MS),
         tried: Vec::new(),
         runs: 0,
         run: None,
-        headed: false,
+        head_sent: false,
         last_event: request.last_event,
-        first: 0,
-        paused: 0,
-        moved: at,
+        first_ms: 0,
+        longest_pause: 0,
+        event_at: arrived_at,
         route,
     };
     state.flights.insert(id, flight);
-    send::next(state, now, id, out);
+    send::send_or_wait(state, now, id, out);
 }
 
-/// The account and rank of a request; an error where its key isn't known.
+/// Client account and priority of a request; an error if its key is unknown.
 fn account(
     routing: &Routing,
     route: &RouteSpec,
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -1,18 +1,19 @@
-//! What endpoints answer, and what of it goes to callers.
+//! Handles the answers of endpoints and passes them on to callers.
 
 use super::{crashes, end, endpoints, limit, send, DirectEffect, DirectState, RunPart};
 use crate::logic::router::Metric;
 use crate::logic::Effect;
 use crate::types::Millis;
 
-/// First status that says that the endpoint has failed.
-const FAILED: u16 = 500;
+/// Lowest HTTP status of a server error.
+const MIN_SERVER_ERROR: u16 = 500;
 
-/// Status of an endpoint that ran out of the request's time.
-const OUT_OF_TIME: u16 = 504;
+/// Status of an endpoint that ran out of the request's time. It doesn't count as a failure
+/// of the endpoint.
+const GATEWAY_TIMEOUT: u16 = 504;
 
-/// Part of an endpoint's answer has arrived.
-pub(super) fn part(
+/// Handles one part of an endpoint's answer.
+pub(super) fn on_run_part(
     state: &mut DirectState,
     now: Millis,
     run: u64,
@@ -25,48 +26,57 @@
     let heard = !matches!(part, RunPart::NotSent { .. } | RunPart::Broken);
     endpoints::heard(state, now, id, heard);
     match part {
-        RunPart::Head => head(state, now, id, run, out),
-        RunPart::Piece { id: event, bytes } => piece(state, now, id, event, bytes, out),
+        RunPart::Head => on_head(state, now, id, run, out),
+        RunPart::Piece { id: event, bytes } => on_stream_event(state, now, id, event, bytes, out),
         RunPart::End => end::complete(state, now, id, DirectEffect::Finish(id), out),
-        RunPart::Whole { status, not_run } => whole(state, now, id, run, status, not_run, out),
+        RunPart::Whole { status, not_run } => {
+            on_whole_answer(state, now, id, run, status, not_run, out)
+        }
         RunPart::NotSent { refused } => {
             endpoints::failed(state, now, id, refused, out);
             endpoints::release(state, id);
-            send::again(state, now, id, false, "no connection", out);
+            send::retry(state, now, id, false, "no connection to the endpoint", out);
         }
         RunPart::Broken => {
             crashes::broke(state, now, id, out);
             endpoints::broke_off(state, now, id);
             endpoints::failed(state, now, id, false, out);
             endpoints::release(state, id);
-            send::again(state, now, id, true, "the answer broke off", out);
+            send::retry(
+                state,
+                now,
+                id,
+                true,
+                "the answer was cut off or invalid",
+                out,
+            );
         }
     }
 }
 
-fn head(state: &mut DirectState, now: Millis, id: u64, run: u64, out: &mut Vec<Effect>) {
+fn on_head(state: &mut DirectState, now: Millis, id: u64, run: u64, out: &mut Vec<Effect>) {
     let run_now = state
         .flights
         .get(&id)
         .and_then(|f| Some((f.run.clone()?, f.route.target_ms)));
     if let Some((run, target)) = run_now.filter(|(r, _)| !r.begun) {
-        limit::began(state, now, &run.at, now.saturating_sub(run.since), target);
+        limit::on_run_begun(state, now, &run.at, now.saturating_sub(run.since), target);
     }
     endpoints::begun(state, id);
     let Some(flight) = state.flights.get_mut(&id) else {
         return;
     };
-    if !flight.headed {
-        flight.headed = true;
-        flight.first = now.saturating_sub(flight.arrived);
-        flight.moved = now;
-        end::measure(flight, Metric::FirstPiece, flight.first, out);
+    if !flight.head_sent {
+        flight.head_sent = true;
+        flight.first_ms = now.saturating_sub(flight.arrived);
+        flight.event_at = now;
+        end::record_metric(flight, Metric::FirstPiece, flight.first_ms, out);
         out.push(Effect::Direct(DirectEffect::PassHead { request: id, run }));
     }
 }
 
-/// Passes an event on, unless the caller has it already.
-fn piece(
+/// Passes a stream event on unless the caller already has it.
+fn on_stream_event(
     state: &mut DirectState,
     now: Millis,
     id: u64,
@@ -84,12 +94,14 @@
         return;
     }
     flight.last_event = event.or(flight.last_event);
-    flight.paused = flight.paused.max(now.saturating_sub(flight.moved));
-    flight.moved = now;
+    flight.longest_pause = flight
+        .longest_pause
+        .max(now.saturating_sub(flight.event_at));
+    flight.event_at = now;
     out.push(Effect::Direct(DirectEffect::Piece { request: id, bytes }));
 }
 
-fn whole(
+fn on_whole_answer(
     state: &mut DirectState,
     now: Millis,
     id: u64,
@@ -101,16 +113,16 @@
     let Some(flight) = state.flights.get(&id) else {
         return;
     };
-    let failed = status >= FAILED && status != OUT_OF_TIME;
-    let last = flight.runs >= flight.route.attempts || !flight.route.repeatable();
+    let failed = status >= MIN_SERVER_ERROR && status != GATEWAY_TIMEOUT;
+    let is_last = flight.runs >= flight.route.attempts || !flight.route.repeatable();
     if not_run {
         endpoints::shed(state, now, id);
         endpoints::release(state, id);
-        return send::again(state, now, id, false, "not run", out);
+        return send::retry(state, now, id, false, "the endpoint did not run it", out);
     }
-    if flight.headed || (failed && !last) {
+    if flight.head_sent || (failed && !is_last) {
         endpoints::release(state, id);
-        return send::again(state, now, id, true, "the endpoint failed", out);
+        return send::retry(state, now, id, true, "the endpoint failed", out);
     }
     let pass = DirectEffect::PassWhole { request: id, run };
     end::complete(state, now, id, pass, out);
--- a/src/logic/direct/arrivals.rs
+++ b/src/logic/direct/arrivals.rs
@@ -2,17 +2,17 @@
 
 use super::ModelDemand;
 
-/// What one model was asked for within some time.
+/// Requests for one model in one time slot, or in the sum of several.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Arrivals {
-    /// Requests that came, returned ones included.
+    /// All requests, including those sent again after a refusal.
     pub came: ModelDemand,
-    /// Requests that were told to come back, in thousandths.
+    /// Requests whose callers were asked to come back, in thousandths of a request.
     pub refused: u64,
 }
 
 impl Arrivals {
-    /// Nothing.
+    /// No requests for a model.
     pub fn none(model: &Arc<str>) -> Self {
         Self {
             came: ModelDemand::none(model),
@@ -20,17 +20,17 @@
         }
     }
 
-    /// Adds what came and was refused in another time.
+    /// Adds the requests of another slot.
     pub fn add(&mut self, other: &Self) {
         self.came.add(&other.came);
         self.refused += other.refused;
     }
 
-    /// What came for the first time.
+    /// Estimated requests that were sent for the first time.
     ///
-    /// A request that comes back looks like any other, but whoever is refused comes back
-    /// once. Where a part `q` of all is refused, `n` requests are `n / (1 + q)` first tries
-    /// and the returned rest.
+    /// A request that is sent again looks like any other, but each refused caller is assumed
+    /// to come back once. If a part `q` of all requests is refused, `n` requests are
+    /// `n / (1 + q)` first tries; the rest was sent again.
     pub fn first_tries(&self) -> ModelDemand {
         let came = self.came.requests;
         self.came.scaled(came, came + self.refused)
--- a/src/logic/direct/asked.rs
+++ b/src/logic/direct/asked.rs
@@ -2,13 +2,13 @@
 
 use crate::types::Millis;
 
-/// Another router's question about an endpoint.
+/// Another router's request for an observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Asked {
-    /// Where the answer goes.
+    /// Address that the answer goes to.
     pub from: SocketAddr,
-    /// Number of the question, echoed.
+    /// Number of the request, returned with the answer.
     pub number: u64,
-    /// When it came.
+    /// Time of its arrival.
     pub at: Millis,
 }
--- a/src/logic/direct/choose.rs
+++ b/src/logic/direct/choose.rs
@@ -1,26 +1,27 @@
-//! Which endpoint a request goes to.
+//! Chooses the endpoint that a request is sent to.
 
 use super::{limit, rates, DirectState, EndpointView, Flight, Mechanism};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
-/// What an endpoint of another data hall costs beside, in microseconds.
-const FAR_US: u64 = 3_000;
+/// Added to the expected delay of an endpoint in another data hall.
+const OTHER_HALL_US: u64 = 3_000;
 
-/// Guess at the work of a plain request, in microseconds.
-const PLAIN_US: u64 = 15_000;
+/// Assumed processing time of a request to a service without an engine.
+const PLAIN_REQUEST_US: u64 = 15_000;
 
-/// The endpoint that is likely to answer first.
+/// Returns the endpoint that is expected to begin first. Endpoints that the request was
+/// not sent to yet come first; failing these, any but the one that it was last sent to.
 pub(super) fn pick(state: &mut DirectState, now: Millis, flight: &Flight) -> Option<InstanceId> {
-    let fresh = best(state, now, flight, |tried| !flight.tried.contains(tried));
-    fresh.or_else(|| {
-        best(state, now, flight, |tried| {
+    let untried = best_endpoint(state, now, flight, |tried| !flight.tried.contains(tried));
+    untried.or_else(|| {
+        best_endpoint(state, now, flight, |tried| {
             flight.tried.last() != Some(tried)
         })
     })
 }
 
-/// Whether any endpoint may take such a request in its time, if only it had room.
-pub(super) fn any(state: &DirectState, flight: &Flight) -> bool {
+/// Whether any endpoint could take the request before its wait ends if it had room.
+pub(super) fn has_candidate(state: &DirectState, flight: &Flight) -> bool {
     let spec = state
         .routing
         .as_ref()
@@ -28,19 +29,19 @@
     let groups = spec.is_some_and(|s| s.engine.is_some());
     let fits = |v: &EndpointView| {
         let fits = v.listed && v.entry.service == flight.service;
-        fits && rates::allows_until(v, flight.held) && serves(v, flight, groups)
+        fits && rates::can_send_by(v, flight.wait_until) && can_serve(v, flight, groups)
     };
     state.endpoints.values().any(fits)
 }
 
-/// Whether an endpoint of the right service serves what is asked for: any of a plain
-/// service, or the head of a group of the model where a service has `groups`.
-fn serves(view: &EndpointView, flight: &Flight, groups: bool) -> bool {
+/// Whether an endpoint of the right service can serve the request: any endpoint of a
+/// plain service, or a head of a group with the right model if the service has `groups`.
+fn can_serve(view: &EndpointView, flight: &Flight, groups: bool) -> bool {
     let model = flight.model.is_none() || view.entry.model == flight.model;
     !groups || (view.heads() && model)
 }
 
-fn best(
+fn best_endpoint(
     state: &mut DirectState,
     now: Millis,
     flight: &Flight,
@@ -51,27 +52,27 @@
     let engine = spec.and_then(|s| s.engine.as_ref());
     let mut found: Option<(u64, u64, InstanceId)> = None;
     let routers = state.peers.len() as u64 + 1;
-    let draws = state.random(u64::MAX);
+    let random = state.random(u64::MAX);
     let knobs = &state.knobs;
     for (id, view) in &state.endpoints {
-        if !allowed(&(id.clone(), view.epoch())) || !takes(view, now, flight, engine.is_some()) {
+        if !allowed(&(id.clone(), view.epoch())) || !can_take(view, now, flight, engine.is_some()) {
             continue;
         }
-        let room = |e: &EngineSpec| {
-            (!knobs.on(Mechanism::Limits) || limit::room(view, routers, flight, now))
+        let has_room = |e: &EngineSpec| {
+            (!knobs.on(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
                 && (!knobs.on(Mechanism::ReadingBound)
-                    || limit::reads(view, routers, flight, e, now))
+                    || limit::can_read(view, routers, flight, e, now))
         };
-        if !engine.is_none_or(room) {
+        if !engine.is_none_or(has_room) {
             continue;
         }
-        let far = if view.entry.hall == state.hall {
+        let extra = if view.entry.hall == state.hall {
             0
         } else {
-            FAR_US
+            OTHER_HALL_US
         };
-        let cost = expected_us(view, flight, engine) + far;
-        let tie = draws.rotate_left(u32::from(id.as_str().bytes().last().unwrap_or(0)));
+        let cost = expected_us(view, flight, engine) + extra;
+        let tie = random.rotate_left(u32::from(id.as_str().bytes().last().unwrap_or(0)));
         if found
             .as_ref()
             .is_none_or(|(c, t, _)| (cost, tie) < (*c, *t))
@@ -82,19 +83,20 @@
     found.map(|(_, _, id)| id)
 }
 
-/// Whether an endpoint may get this request at all.
-fn takes(view: &EndpointView, now: Millis, flight: &Flight, groups: bool) -> bool {
+/// Whether an endpoint can take this request now, apart from its limits of runs and of
+/// prompt tokens.
+fn can_take(view: &EndpointView, now: Millis, flight: &Flight, groups: bool) -> bool {
     let entry = &view.entry;
     let fits = entry.service == flight.service && !entry.leaving && view.listed;
-    let calm = view.shunned <= now && view.silent.is_none();
-    fits && calm && rates::allows(view, now) && serves(view, flight, groups)
+    let available = view.shunned <= now && view.silent.is_none();
+    fits && available && rates::can_send(view, now) && can_serve(view, flight, groups)
 }
 
-/// Microseconds until an endpoint is likely to begin with a request.
+/// Expected time in microseconds until an endpoint begins with a request.
 fn expected_us(view: &EndpointView, flight: &Flight, engine: Option<&EngineSpec>) -> u64 {
     let running = u64::from(view.running);
     let Some(engine) = engine else {
-        return running * PLAIN_US;
+        return running * PLAIN_REQUEST_US;
     };
     let pace = view
         .entry
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -142,7 +142,7 @@
     let ended = flights.filter(|(_, f)| f.fingerprint == request && !moves(f));
     for id in ended.map(|(id, _)| *id).collect::<Vec<_>>() {
         state.crashes.refused += 1;
-        end::forbid(state, id, out);
+        end::refuse_blocked(state, id, out);
     }
 }
 
--- a/src/logic/direct/direct_request.rs
+++ b/src/logic/direct/direct_request.rs
@@ -3,29 +3,29 @@
 use super::Fingerprint;
 use crate::types::Millis;
 
-/// A caller's request, as far as decisions need it; the host keeps the rest.
+/// What routing decisions need of a caller's request; the host keeps the rest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DirectRequest {
-    /// Number in this process.
+    /// Number of the request in this process.
     pub id: u64,
-    /// The caller's id of the request, for logs.
+    /// Request id from the caller, for logs.
     pub label: String,
-    /// Fingerprint of what was sent, without the account that the key belongs to.
+    /// Fingerprint of the request without its client account.
     pub content: Fingerprint,
-    /// Host that was asked for.
+    /// Requested host.
     pub host: String,
-    /// Path that was asked for.
+    /// Requested path.
     pub path: String,
     /// The caller's key.
     pub key: Option<String>,
-    /// Milliseconds that the caller waits.
+    /// How long the caller waits, in milliseconds, if it says so.
     pub wait_ms: Option<Millis>,
-    /// Model that is asked for.
+    /// Requested model.
     pub model: Option<Arc<str>>,
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Tokens of the answer, as far as can be guessed.
+    /// Estimated tokens of the answer; 0 if unknown.
     pub answer: u32,
-    /// Last event of the stream that the caller has.
+    /// Id of the last stream event that the caller already has.
     pub last_event: Option<u64>,
 }
--- a/src/logic/direct/end.rs
+++ b/src/logic/direct/end.rs
@@ -1,11 +1,12 @@
-//! Last step of a request: its one final answer.
+//! Last step of a request: gives the caller exactly one final answer.
 
 use super::{crashes, demand, endpoints, queue, DirectEffect, DirectState, Flight, Problem};
 use crate::logic::router::Metric;
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::Millis;
 
-/// Gives a caller the end of its answer.
+/// Ends a request whose endpoint has answered in full; `last` passes the end of the answer
+/// on to the caller.
 pub(super) fn complete(
     state: &mut DirectState,
     now: Millis,
@@ -24,11 +25,11 @@
         Note::new(NoteCode::FlightAnswered)
             .with("request", &flight.label)
             .with("took", now.saturating_sub(flight.arrived))
-            .with("first", flight.first)
-            .with("paused", flight.paused)
+            .with("first", flight.first_ms)
+            .with("paused", flight.longest_pause)
             .with("sends", flight.tried.len()),
     ));
-    measure(
+    record_metric(
         &flight,
         Metric::Total,
         now.saturating_sub(flight.arrived),
@@ -36,8 +37,8 @@
     );
 }
 
-/// Records a value of a request.
-pub(super) fn measure(flight: &Flight, metric: Metric, value: u64, out: &mut Vec<Effect>) {
+/// Records a metric of a request under its client account and route.
+pub(super) fn record_metric(flight: &Flight, metric: Metric, value: u64, out: &mut Vec<Effect>) {
     out.push(Effect::Measure {
         metric,
         account: flight.account.clone().unwrap_or_else(|| "-".into()),
@@ -46,28 +47,31 @@
     });
 }
 
-/// Part of the time that a caller has left up to which it waits before it comes back.
-const HEEDED: u64 = 3;
+/// A caller is asked to come back within its remaining time divided by this.
+const RETRY_AFTER_DIVISOR: u64 = 3;
 
-/// Steps of the random part of the time to come back.
-const SPREAD: u64 = 1_000;
+/// Resolution of the random part of the time to come back.
+const JITTER_STEPS: u64 = 1_000;
 
-/// Time before the deadline at which a request ends that nobody has begun.
-const LAST_MS: Millis = 60;
+/// How long before its deadline a request that no endpoint can have run is given up.
+const UNSENT_MARGIN_MS: Millis = 60;
 
-/// Time within which a router that has started knows the routing and the list.
-const KNOWN_MS: Millis = 500;
+/// Time within which a router that has started knows the routing and the endpoint list.
+const STARTUP_MS: Millis = 500;
 
-/// When a caller should come back that came before anything was known here, with the time
-/// that it has left. Without it callers return at once, often to another router that has
-/// just started too, and have no try left.
-pub(super) fn not_yet(state: &mut DirectState, left: Option<Millis>) -> Problem {
-    let draw = state.random(SPREAD);
-    let most = left.map_or(KNOWN_MS, |left| KNOWN_MS.min(left / HEEDED));
-    Problem::NotYet(most * (SPREAD + draw) / (2 * SPREAD))
+/// Refusal of a request that came before the routing and the endpoint list were known, with
+/// the time after which the caller should come back; `left` is the time that it has left.
+/// Without that time callers return at once, often to another router that has just
+/// started, and use up their tries.
+pub(super) fn not_yet_problem(state: &mut DirectState, left: Option<Millis>) -> Problem {
+    let jitter = state.random(JITTER_STEPS);
+    let max = left.map_or(STARTUP_MS, |left| {
+        STARTUP_MS.min(left / RETRY_AFTER_DIVISOR)
+    });
+    Problem::NotYet(max * (JITTER_STEPS + jitter) / (2 * JITTER_STEPS))
 }
 
-/// Ends a request that no endpoint can be found for, or that failed for good.
+/// Ends a request that no endpoint was found for, or that can't be retried.
 pub(super) fn give_up(
     state: &mut DirectState,
     now: Millis,
@@ -75,16 +79,16 @@
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
-    let draw = state.random(SPREAD);
+    let jitter = state.random(JITTER_STEPS);
     let Some(flight) = state.flights.get(&id) else {
         return;
     };
-    let told_back = flight.promises() && !flight.headed;
-    let model = flight.model.clone().filter(|_| told_back);
-    let problem = if flight.promises() {
-        let most = flight.deadline.saturating_sub(now) / HEEDED;
-        let again = state.knobs.again_ms.min(most);
-        Problem::NotRun(again + (most - again) * (SPREAD + draw) / (2 * SPREAD))
+    let may_return = flight.has_not_run() && !flight.head_sent;
+    let model = flight.model.clone().filter(|_| may_return);
+    let problem = if flight.has_not_run() {
+        let max = flight.deadline.saturating_sub(now) / RETRY_AFTER_DIVISOR;
+        let min = state.knobs.again_ms.min(max);
+        Problem::NotRun(min + (max - min) * (JITTER_STEPS + jitter) / (2 * JITTER_STEPS))
     } else {
         Problem::Unknown
     };
@@ -94,18 +98,18 @@
     finish(state, id, problem, why, out);
 }
 
-/// Ends a request whose time is over.
-pub(super) fn out_of_time(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
-    let why = "its time is over";
+/// Ends a request whose deadline has passed, or is so close that it is given up.
+pub(super) fn time_out(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
+    let why = "its deadline has passed";
     match state.flights.get(&id) {
-        Some(f) if f.promises() && !f.headed => give_up(state, now, id, why, out),
+        Some(f) if f.has_not_run() && !f.head_sent => give_up(state, now, id, why, out),
         _ => finish(state, id, Problem::TimedOut, why, out),
     }
 }
 
-/// Ends a request that is refused from now on.
-pub(super) fn forbid(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
-    let why = "endpoints crashed under it";
+/// Ends a request that has been blocked because it crashes endpoints.
+pub(super) fn refuse_blocked(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
+    let why = "endpoints crashed while running it";
     finish(state, id, Problem::CrashesEndpoints, why, out);
 }
 
@@ -117,26 +121,26 @@
     out: &mut Vec<Effect>,
 ) {
     cancel(state, id, out);
-    queue::leave(state, id);
+    queue::remove(state, id);
     let Some(flight) = state.flights.remove(&id) else {
         return;
     };
     let metric = match problem {
-        Problem::NotRun(_) | Problem::NotYet(_) if !flight.headed => Metric::NotRun,
+        Problem::NotRun(_) | Problem::NotYet(_) if !flight.head_sent => Metric::NotRun,
         _ => Metric::Unknown,
     };
-    measure(&flight, metric, 1, out);
-    if flight.headed {
-        let note = Note::new(NoteCode::FlightCut)
+    record_metric(&flight, metric, 1, out);
+    if flight.head_sent {
+        let event = Note::new(NoteCode::FlightCut)
             .with("request", &flight.label)
             .with("event", flight.last_event.unwrap_or(0))
             .with("sends", flight.tried.len())
             .with("why", why);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
         out.push(Effect::Direct(DirectEffect::Cut(id)));
         return;
     }
-    let note = Note::new(NoteCode::FlightRefused)
+    let event = Note::new(NoteCode::FlightRefused)
         .with("request", &flight.label)
         .with("problem", problem.name())
         .with("why", why)
@@ -145,14 +149,14 @@
         .with("runs", flight.runs)
         .with("fingerprint", flight.fingerprint)
         .with("turn", format!("{:?}", flight.turn));
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     out.push(Effect::Direct(DirectEffect::Refuse {
         request: id,
         problem,
     }));
 }
 
-/// Gives a caller a final answer of the router's own.
+/// Refuses a request that was not admitted.
 pub(super) fn refuse(
     request: u64,
     label: &str,
@@ -160,26 +164,26 @@
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
-    let note = Note::new(NoteCode::FlightRefused)
+    let event = Note::new(NoteCode::FlightRefused)
         .with("request", label)
         .with("problem", problem.name())
         .with("why", why);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     out.push(Effect::Direct(DirectEffect::Refuse { request, problem }));
 }
 
-/// A caller has hung up: nobody waits for the answer.
-pub(super) fn caller_gone(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
+/// Handles a caller that has closed its connection: its request is dropped.
+pub(super) fn on_caller_gone(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
     cancel(state, id, out);
-    queue::leave(state, id);
+    queue::remove(state, id);
     state.early.retain(|(_, request)| request.id != id);
     if let Some(flight) = state.flights.remove(&id) {
-        let note = Note::new(NoteCode::FlightLeft).with("request", &flight.label);
-        out.push(Effect::Note(note));
+        let event = Note::new(NoteCode::FlightLeft).with("request", &flight.label);
+        out.push(Effect::Note(event));
     }
 }
 
-/// Closes the connection of the run that is awaited.
+/// Cancels the request's current run, if any.
 pub(super) fn cancel(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
     let run = state.flights.get(&id).and_then(|f| f.run.as_ref());
     if let Some(run) = run.map(|r| r.id) {
@@ -188,11 +192,12 @@
     }
 }
 
-/// Ends what is out of time.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let begun = |f: &Flight| f.headed || f.run.as_ref().is_some_and(|r| r.begun);
+/// Ends requests whose deadline has passed or is close.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let begun = |f: &Flight| f.head_sent || f.run.as_ref().is_some_and(|r| r.begun);
     let left = |f: &Flight| f.deadline.saturating_sub(now);
-    let late = |f: &Flight| left(f) == 0 || (left(f) <= LAST_MS && !begun(f) && f.promises());
+    let late =
+        |f: &Flight| left(f) == 0 || (left(f) <= UNSENT_MARGIN_MS && !begun(f) && f.has_not_run());
     let over: Vec<u64> = state
         .flights
         .iter()
@@ -200,6 +205,6 @@
         .map(|(id, _)| *id)
         .collect();
     for id in over {
-        out_of_time(state, now, id, out);
+        time_out(state, now, id, out);
     }
 }
--- a/src/logic/direct/end_stage.rs
+++ b/src/logic/direct/end_stage.rs
@@ -1,11 +1,11 @@
-/// How far an orderly stop has come.
+/// Stage of an orderly shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum EndStage {
-    /// Callers are served.
+    /// Callers are accepted and served.
     #[default]
     Open,
-    /// No more callers are taken; those that wait are served.
+    /// No more callers are accepted; requests in flight are still served.
     Closed,
-    /// Nothing is left to do.
+    /// All requests have their answer, or the time to shut down is over: the process exits.
     Over,
 }
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -350,7 +350,7 @@
         view.shunned = view.shunned.max(now + FULL_MS);
     }
     if let Some(at) = at(state, request) {
-        limit::full(state, now, &at);
+        limit::on_full(state, now, &at);
     }
 }
 
--- a/src/logic/direct/fingerprint.rs
+++ b/src/logic/direct/fingerprint.rs
@@ -6,10 +6,10 @@
 /// Bytes of a fingerprint.
 const LENGTH: usize = 16;
 
-/// What stays the same when a caller sends a request again: method, host, path, body and
-/// client account.
+/// Digest of what stays the same when a caller sends a request again: method, host, path,
+/// body and client account.
 ///
-/// It is a cryptographic digest, so that nobody can make a request that is taken for
+/// The digest is cryptographic, so that nobody can make a request that is mistaken for
 /// another caller's.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
@@ -17,7 +17,8 @@
 pub struct Fingerprint([u8; LENGTH]);
 
 impl Fingerprint {
-    /// The fingerprint of some parts; where one part ends makes a difference.
+    /// Fingerprint of the parts. Their boundaries matter: `["ab", "c"]` and `["a", "bc"]`
+    /// differ.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
@@ -29,7 +30,7 @@
         Self(bytes)
     }
 
-    /// The fingerprint of the same request of one client account.
+    /// Fingerprint of the same request sent by a client account.
     pub fn by(&self, account: Option<&str>) -> Self {
         match account {
             Some(account) => Self::of(&[&self.0, account.as_bytes()]),
--- a/src/logic/direct/flight.rs
+++ b/src/logic/direct/flight.rs
@@ -3,85 +3,86 @@
 use super::{Fingerprint, Turn};
 use crate::types::{InstanceId, Millis, RouteSpec};
 
-/// Part of the objective, as its inverse, after which a request that still waits counts
-/// as late: the rest is what the way there and the first token take.
-const LATE_PART: Millis = 6;
+/// A request counts as late once it has waited for its objective divided by this. The rest
+/// of the objective is needed to reach the endpoint and for the first token.
+const LATE_DIVISOR: Millis = 6;
 
-/// A caller's request that has no final answer yet.
+/// In-flight request: a caller's request that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Flight {
-    /// The caller's id of the request, for logs.
+    /// Request id from the caller, for logs.
     pub label: String,
-    /// What it has in common with the same request sent again.
+    /// Identifies the request if the caller sends it again.
     pub fingerprint: Fingerprint,
     /// Its route.
     pub route: Arc<RouteSpec>,
     /// Service that it goes to.
     pub service: Arc<str>,
-    /// Model that is asked for.
+    /// Requested model.
     pub model: Option<Arc<str>>,
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Tokens of the answer, guessed.
+    /// Estimated tokens of the answer.
     pub answer: u32,
     /// Client account.
     pub account: Option<Arc<str>>,
-    /// Rank; 0 comes first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Whose turn it is among others.
+    /// Its precedence over other requests that wait.
     pub turn: Turn,
-    /// Until when it may wait for an endpoint at the longest.
-    pub held: Millis,
-    /// When it arrived.
+    /// Time until which it may wait for an endpoint.
+    pub wait_until: Millis,
+    /// Time of its arrival.
     pub arrived: Millis,
-    /// When the caller gives up, or the route's time is over.
+    /// Time at which the caller or the route's time limit ends the request.
     pub deadline: Millis,
-    /// Endpoints that it was sent to, with the epoch of their groups: an endpoint
-    /// in another group is another one.
+    /// Endpoints that it was sent to, in order, each with the epoch of its group at that
+    /// time: an endpoint in another group counts as a different one.
     pub tried: Vec<(InstanceId, u64)>,
-    /// Sends that may have run.
+    /// Runs that an endpoint may have begun: sends except those known not to have run.
     pub runs: u32,
-    /// The run that is awaited.
+    /// The current run.
     pub run: Option<Run>,
-    /// Whether the head of a stream has gone to the caller.
-    pub headed: bool,
-    /// Last event that the caller has.
+    /// Whether the head of a stream was sent to the caller.
+    pub head_sent: bool,
+    /// Id of the last stream event that the caller has.
     pub last_event: Option<u64>,
-    /// Time until the answer began, in milliseconds.
-    pub first: Millis,
-    /// Longest pause between two events that went to the caller, in milliseconds.
-    pub paused: Millis,
-    /// When an event last went to the caller.
-    pub moved: Millis,
+    /// Time from arrival until the head of a stream was sent to the caller, in milliseconds.
+    pub first_ms: Millis,
+    /// Longest pause between two parts of a stream sent to the caller, in milliseconds.
+    pub longest_pause: Millis,
+    /// Time at which the head or an event was last sent to the caller; its arrival before.
+    pub event_at: Millis,
 }
 
 impl Flight {
-    /// Whether the caller may be told that the request has not run: no endpoint can have
-    /// run it. That it may be repeated makes no difference, as the word has to be true.
-    pub fn promises(&self) -> bool {
+    /// Whether no endpoint can have run the request, so that the answer to the caller may say
+    /// so. This has to be true also of requests that may be repeated.
+    pub fn has_not_run(&self) -> bool {
         self.runs == 0
     }
 
-    /// Whether it has waited for so long that its answer will hardly begin in time.
+    /// Whether it has waited so long that its answer is unlikely to begin within the
+    /// objective.
     pub(super) fn is_late(&self, now: Millis) -> bool {
-        let left = self.route.target_ms / LATE_PART;
-        self.turn == Turn::Fresh && now >= self.arrived + left
+        let allowed = self.route.target_ms / LATE_DIVISOR;
+        self.turn == Turn::Fresh && now >= self.arrived + allowed
     }
 }
 
-/// A run that is awaited.
+/// A run: one send of a request to an endpoint, whose answer is not complete yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Run {
-    /// Its number.
+    /// Number of the run.
     pub id: u64,
-    /// Where it runs.
+    /// The endpoint.
     pub at: InstanceId,
-    /// Epoch of the group there; 0 for a plain service.
+    /// Epoch of the endpoint's group when it was sent; 0 for a plain service.
     pub epoch: u64,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub since: Millis,
     /// Whether the endpoint has begun to answer.
     pub begun: bool,
-    /// Whether an event has come.
+    /// Whether a stream event has arrived.
     pub moved: bool,
 }
--- a/src/logic/direct/limit.rs
+++ b/src/logic/direct/limit.rs
@@ -1,62 +1,62 @@
-//! How much a router sends to one head: as much as begins in time.
+//! Concurrency limits: how many runs a router has at one head at a time.
 //!
-//! Routers don't tell each other what they have sent. Each begins with its even part of
-//! the slots, raises its limit while requests begin well within their objective and lowers
-//! it when they begin late, so that together they keep a head just short of queueing.
+//! Routers don't exchange how much they have sent. Each starts with an even share of the
+//! head's slots, raises its limit while requests begin well within their objective and
+//! lowers it when they begin late, so that together they keep a head just short of queueing.
 //!
-//! What is well within is learnt: a first token takes some time without any queue (120 to
-//! 170 ms of objectives of 200 to 500 ms at the engines seen), which no limit changes.
+//! What counts as well within is derived from the quickest recent first token: without any
+//! queue it takes 120 to 170 ms of objectives of 200 to 500 ms, which no limit changes.
 
 use super::{DirectState, EndpointView, Flight, Turn};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
-/// One run, in the unit of limits.
-const ONE: u64 = 1_000;
+/// One run in the unit of limits, thousandths of a run.
+const RUN_PER_MILLE: u64 = 1_000;
 
-/// Lowest limit of all, so that two requests of a router overlap.
-const LEAST: u64 = 2 * ONE;
+/// Lowest limit of all, so that two requests of a router can overlap.
+const MIN_LIMIT_PER_MILLE: u64 = 2 * RUN_PER_MILLE;
 
-/// Lowest limit against the even part of the slots, in hundredths. A fixed floor of 8 runs
-/// let 14 routers have 112 at a head of 48: on a fleet that was asked for more than it
-/// could serve, 12 % of its main requests began in time, with this one 35 % (one day of
-/// 34 s). At 40 the same days were within luck.
-const LEAST_PART: u64 = 80;
+/// Lowest limit relative to the even share of the slots. A fixed floor of 8 runs let 14
+/// routers have 112 runs at a head with 48 slots: on an overloaded fleet 12 % of the main
+/// requests then began in time, with this floor 35 %.
+const MIN_LIMIT_PERCENT: u64 = 80;
 
-/// Shortest time between two lowerings.
-const LOWER_MS: Millis = 200;
+/// Shortest time between two reductions of a limit.
+const LOWER_INTERVAL_MS: Millis = 200;
 
-/// What remains of a limit when requests begin late, in hundredths.
-const LATE: u64 = 80;
+/// What remains of a limit after a request began late.
+const LATE_PERCENT: u64 = 80;
 
-/// What remains of a limit when the endpoint was full, in hundredths.
-const FULL: u64 = 70;
+/// What remains of a limit after the endpoint was full.
+const FULL_PERCENT: u64 = 70;
 
-/// Part of the time between the quickest first token and the objective, as its inverse,
-/// within which a request begins well.
-const WELL: u64 = 2;
+/// A request begins well in time if it takes no longer than the quickest first token plus
+/// the time from there to the objective divided by this.
+const WELL_IN_TIME_DIVISOR: u64 = 2;
 
-/// Part of itself, as its inverse, by which the quickest first token is taken to have
-/// grown with each request that took longer: a hundred requests double it.
-const FORGETS: u64 = 128;
+/// With each request that takes longer, the quickest first token grows by itself divided by
+/// this: about a hundred requests double it.
+const QUICKEST_GROWTH_DIVISOR: u64 = 128;
 
-/// How far streams that have begun may go, in hundredths of a limit, and requests that
-/// have waited until they are late: what is still in time needs room when it comes.
-const RESUMED: u64 = 110;
-const LATE_ROOM: u64 = 60;
+/// Parts of a limit that are open to resumed streams, which may go past it, and to late
+/// requests, which leave room for those that can still begin in time.
+const RESUMED_LIMIT_PERCENT: u64 = 110;
+const LATE_LIMIT_PERCENT: u64 = 60;
 
-/// Part of the reading bound, in hundredths, up to which late requests are read.
-const LATE_READING: u64 = 33;
+/// Part of the bound of unread prompt tokens that is open to late requests.
+const LATE_READING_PERCENT: u64 = 33;
 
-/// Part of the wanted pause that reading may take within one pass, in hundredths.
-const READING: u64 = 60;
+/// Part of the target pause between two stream events that reading prompts may take up in
+/// one pass.
+const READING_PERCENT: u64 = 60;
 
-/// Times its even part that one router may have read at a head: routers seldom
-/// send to the same one at once.
-const UNEVEN: u64 = 2;
+/// How many times its even share of the unread prompt tokens one router may use at a head:
+/// routers seldom send to the same head at once.
+const SHARE_FACTOR: u64 = 2;
 
-/// Whether a head may get one more prompt to read: what is read in a pass holds up
-/// every stream there, so that too much at once makes all of them late.
-pub(super) fn reads(
+/// Whether a head may get one more prompt to read. The prompts read in one pass delay every
+/// stream there, so too many tokens at once make all of them late.
+pub(super) fn can_read(
     view: &EndpointView,
     routers: u64,
     flight: &Flight,
@@ -65,47 +65,48 @@
 ) -> bool {
     let model = view.entry.model.as_ref().and_then(|m| engine.model(m));
     let pace = model.map_or(1_000, |m| m.pace).max(1);
-    let in_a_ms = engine.read_rate / pace;
-    let most = flight.route.gap_ms * READING / 100 * in_a_ms * UNEVEN / routers.max(1);
-    let most = if flight.is_late(now) {
-        most * LATE_READING / 100
+    let tokens_per_ms = engine.read_rate / pace;
+    let max_tokens =
+        flight.route.gap_ms * READING_PERCENT / 100 * tokens_per_ms * SHARE_FACTOR / routers.max(1);
+    let max_tokens = if flight.is_late(now) {
+        max_tokens * LATE_READING_PERCENT / 100
     } else {
-        most
+        max_tokens
     };
-    view.unread == 0 || view.unread + u64::from(flight.prompt) <= most
+    view.unread == 0 || view.unread + u64::from(flight.prompt) <= max_tokens
 }
 
-/// Whether an endpoint has room for one more run.
-pub(super) fn room(view: &EndpointView, routers: u64, flight: &Flight, now: Millis) -> bool {
-    let limit = current(view, routers);
+/// Whether an endpoint has room for one more run of this router.
+pub(super) fn has_room(view: &EndpointView, routers: u64, flight: &Flight, now: Millis) -> bool {
+    let limit = current_limit(view, routers);
     let limit = match flight.turn {
-        Turn::Resumed => limit * RESUMED / 100,
-        Turn::Fresh if flight.is_late(now) => limit * LATE_ROOM / 100,
+        Turn::Resumed => limit * RESUMED_LIMIT_PERCENT / 100,
+        Turn::Fresh if flight.is_late(now) => limit * LATE_LIMIT_PERCENT / 100,
         Turn::Fresh => limit,
     };
-    u64::from(view.running) * ONE < limit
+    u64::from(view.running) * RUN_PER_MILLE < limit
 }
 
-/// The limit in force: at first each router's even part of the slots.
-fn current(view: &EndpointView, routers: u64) -> u64 {
+/// Limit in force, in thousandths of a run; the even share of the slots at first.
+fn current_limit(view: &EndpointView, routers: u64) -> u64 {
     if view.limit > 0 {
         return view.limit;
     }
-    even_part(view, routers).max(LEAST)
+    even_share(view, routers).max(MIN_LIMIT_PER_MILLE)
 }
 
-/// Each router's even part of the slots.
-fn even_part(view: &EndpointView, routers: u64) -> u64 {
-    u64::from(view.entry.slots) * ONE / routers.max(1)
+/// Each router's even share of the slots, in thousandths of a run.
+fn even_share(view: &EndpointView, routers: u64) -> u64 {
+    u64::from(view.entry.slots) * RUN_PER_MILLE / routers.max(1)
 }
 
-/// The lowest limit of a head.
-fn least(view: &EndpointView, routers: u64) -> u64 {
-    (even_part(view, routers) * LEAST_PART / 100).max(LEAST)
+/// Lowest limit of a head, in thousandths of a run.
+fn min_limit(view: &EndpointView, routers: u64) -> u64 {
+    (even_share(view, routers) * MIN_LIMIT_PERCENT / 100).max(MIN_LIMIT_PER_MILLE)
 }
 
-/// A request began after a while.
-pub(super) fn began(
+/// Handles a run that began after `took` milliseconds, with an objective of `target`.
+pub(super) fn on_run_begun(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -116,35 +117,36 @@
     let Some(view) = state.endpoints.get_mut(id) else {
         return;
     };
-    let limit = current(view, routers);
-    let most = u64::from(view.entry.slots.max(1)) * ONE;
-    let grown = view.quick + view.quick / FORGETS + 1;
+    let limit = current_limit(view, routers);
+    let max = u64::from(view.entry.slots.max(1)) * RUN_PER_MILLE;
+    let grown = view.quick + view.quick / QUICKEST_GROWTH_DIVISOR + 1;
     view.quick = if view.quick == 0 {
         took
     } else {
         took.min(grown)
     };
-    let well = view.quick + target.saturating_sub(view.quick) / WELL;
+    let well_in_time = view.quick + target.saturating_sub(view.quick) / WELL_IN_TIME_DIVISOR;
     if took > target {
-        lower(view, now, limit, LATE, least(view, routers));
-    } else if took <= well {
-        view.limit = (limit + ONE * ONE / limit).min(most.max(LEAST));
+        lower(view, now, limit, LATE_PERCENT, min_limit(view, routers));
+    } else if took <= well_in_time {
+        view.limit =
+            (limit + RUN_PER_MILLE * RUN_PER_MILLE / limit).min(max.max(MIN_LIMIT_PER_MILLE));
     }
 }
 
-/// The endpoint was full.
-pub(super) fn full(state: &mut DirectState, now: Millis, id: &InstanceId) {
+/// Handles an endpoint's refusal of a run for lack of room.
+pub(super) fn on_full(state: &mut DirectState, now: Millis, id: &InstanceId) {
     let routers = state.peers.len() as u64 + 1;
     if let Some(view) = state.endpoints.get_mut(id) {
-        let limit = current(view, routers);
-        let least = least(view, routers);
-        lower(view, now, limit, FULL, least);
+        let limit = current_limit(view, routers);
+        let min = min_limit(view, routers);
+        lower(view, now, limit, FULL_PERCENT, min);
     }
 }
 
-fn lower(view: &mut EndpointView, now: Millis, limit: u64, part: u64, least: u64) {
-    if now >= view.lowered + LOWER_MS {
+fn lower(view: &mut EndpointView, now: Millis, limit: u64, percent: u64, min: u64) {
+    if now >= view.lowered + LOWER_INTERVAL_MS {
         view.lowered = now;
-        view.limit = (limit * part / 100).max(least);
+        view.limit = (limit * percent / 100).max(min);
     }
 }
--- a/src/logic/direct/line.rs
+++ b/src/logic/direct/line.rs
@@ -3,25 +3,24 @@
 use super::Turn;
 use crate::types::Millis;
 
-/// Length of one slot of the window that is counted in.
+/// Length of one slot of the counting window.
 const SLOT_MS: Millis = 500;
 
-/// Slots of that window, four seconds in all: longer than a group takes to form anew, so
-/// that a line doesn't close while that happens, and shorter than callers wait.
+/// Slots of the window, 4 s in all: longer than a group takes to form again, so that the
+/// queue still takes requests meanwhile, and shorter than callers wait.
 const SLOTS: u64 = 8;
 
-/// Requests that may wait however few were sent lately.
-const LEAST: u64 = 4;
+/// Requests that may wait even if fewer were sent recently.
+const MIN_WAITING: u64 = 4;
 
-/// Late requests that must have got an endpoint for each that waited in vain. At one a
-/// fleet that is short all day kept callers waiting for refusals; with two and four the
-/// same days were within luck of each other.
-const SERVED_A_VAIN: u64 = 4;
+/// Late requests that must have got an endpoint for each one that was refused. With 1,
+/// callers of a fleet that was short of capacity all day waited only to be refused.
+const SERVED_PER_REFUSED: u64 = 4;
 
-/// Served ones that are added to what was seen, so that a line is open at first.
-const FORGIVEN: u64 = 2;
+/// Added to the served requests, so that a new queue takes requests.
+const INITIAL_SERVED: u64 = 2;
 
-/// What one slot has counted.
+/// Counts of one slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Counts {
     /// Number of the slot.
@@ -31,47 +30,47 @@
     /// Late requests whose wait ended with an endpoint.
     served: u64,
     /// Late requests whose wait ended with a refusal.
-    vain: u64,
+    refused: u64,
 }
 
-/// Requests of one route and model that wait for an endpoint here.
+/// Wait queue: requests of one service, model and route that wait for an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Line {
-    /// Those that wait: by turn and rank, then as they came.
+    /// Waiting requests by turn, priority and id; ids follow the order of arrival.
     pub waiting: BTreeSet<(Turn, u8, u64)>,
-    /// What was counted lately, the oldest slot first.
+    /// Slots of the window, the oldest first.
     counts: VecDeque<Counts>,
 }
 
 impl Line {
-    /// Counts a request that was sent to an endpoint; `late` where it had waited until it
-    /// was late.
-    pub fn sent(&mut self, now: Millis, late: bool) {
+    /// Counts a request that was sent to an endpoint; `late` if it was late by then.
+    pub fn on_sent(&mut self, now: Millis, late: bool) {
         let counts = self.slot(now);
         counts.sent += 1;
         counts.served += u64::from(late);
     }
 
-    /// Counts a late request that waited in vain.
-    pub fn refused(&mut self, now: Millis) {
-        self.slot(now).vain += 1;
+    /// Counts a late request that was refused.
+    pub fn on_refused(&mut self, now: Millis) {
+        self.slot(now).refused += 1;
     }
 
-    /// How many may wait here for `hold` milliseconds: as many as were sent within such a
-    /// time lately, and a few more. What is beyond that would wait in vain.
-    pub fn most(&mut self, now: Millis, hold: Millis) -> u64 {
-        LEAST.max(self.sum(now, |c| c.sent) * hold / (SLOTS * SLOT_MS))
+    /// How many requests may wait for `wait` milliseconds: as many as are sent within that
+    /// time at the recent rate, but at least a few. More would wait in vain.
+    pub fn max_waiting(&mut self, now: Millis, wait: Millis) -> u64 {
+        MIN_WAITING.max(self.total(now, |c| c.sent) * wait / (SLOTS * SLOT_MS))
     }
 
-    /// Whether nearly all that waited until they were late got an endpoint lately.
-    pub fn rewards(&mut self, now: Millis) -> bool {
-        let vain = self.sum(now, |c| c.vain);
-        self.sum(now, |c| c.served) + FORGIVEN >= SERVED_A_VAIN * vain
+    /// Whether waiting is effective: nearly all requests that waited until they were late
+    /// recently got an endpoint.
+    pub fn is_effective(&mut self, now: Millis) -> bool {
+        let refused = self.total(now, |c| c.refused);
+        self.total(now, |c| c.served) + INITIAL_SERVED >= SERVED_PER_REFUSED * refused
     }
 
-    /// Whether anything was sent lately.
-    pub fn is_used(&mut self, now: Millis) -> bool {
-        self.sum(now, |c| c.sent) > 0
+    /// Whether any request of this queue was sent within the window.
+    pub fn has_sent(&mut self, now: Millis) -> bool {
+        self.total(now, |c| c.sent) > 0
     }
 
     fn slot(&mut self, now: Millis) -> &mut Counts {
@@ -86,7 +85,7 @@
         &mut self.counts[last]
     }
 
-    fn sum(&mut self, now: Millis, of: impl Fn(&Counts) -> u64) -> u64 {
+    fn total(&mut self, now: Millis, of: impl Fn(&Counts) -> u64) -> u64 {
         let oldest = (now / SLOT_MS).saturating_sub(SLOTS - 1);
         while self.counts.front().is_some_and(|c| c.slot < oldest) {
             self.counts.pop_front();
--- a/src/logic/direct/line_key.rs
+++ b/src/logic/direct/line_key.rs
@@ -2,19 +2,19 @@
 
 use super::Flight;
 
-/// What requests that wait in one line have in common.
+/// What the requests of one wait queue have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LineKey {
     /// Service that they go to.
     pub service: Arc<str>,
     /// Model that they ask for.
     pub model: Option<Arc<str>>,
-    /// Their route: requests of one are about as long.
+    /// Their route; requests of one route are of similar length.
     pub route: Arc<str>,
 }
 
 impl LineKey {
-    /// The line of a request.
+    /// Key of the queue that a request waits in.
     pub(super) fn of(flight: &Flight) -> Self {
         Self {
             service: flight.service.clone(),
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -217,7 +217,7 @@
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
         PeerMessage::Silent { id } => plan::suspect(state, now, &id, out),
-        PeerMessage::Rate { id, rate } => rates::told(state, now, &id, rate, out),
+        PeerMessage::Rate { id, rate } => rates::on_peer_rate(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::told(state, now, &reports, out),
         PeerMessage::Seen { number, sight } => plan::seen(state, number, sight),
     }
--- a/src/logic/direct/problem.rs
+++ b/src/logic/direct/problem.rs
@@ -3,24 +3,26 @@
 /// Why a router answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Problem {
-    /// No routing is known yet, or none of its endpoints; come back after this time.
+    /// The routing or the endpoint list is not known yet; the caller should come back after
+    /// this time in milliseconds.
     NotYet(Millis),
-    /// No such route.
+    /// No route or service matches the request.
     NoRoute,
-    /// The key isn't known.
+    /// The caller's key is missing or unknown.
     NoAccount,
-    /// The request has not run and never will; come back after this time.
+    /// The request has not run and won't run; the caller should come back after this time in
+    /// milliseconds.
     NotRun(Millis),
-    /// Endpoints crash when they run it; nobody should send it again.
+    /// Endpoints crash when they run the request; it should not be sent again.
     CrashesEndpoints,
-    /// It may have run and its answer is lost.
+    /// The request may have run and its answer is lost.
     Unknown,
-    /// It may have run and no answer came in time.
+    /// The request may have run and no answer came in time.
     TimedOut,
 }
 
 impl Problem {
-    /// Short name, for logs and bodies.
+    /// Short name, for logs and response bodies.
     pub fn name(&self) -> &'static str {
         match self {
             Problem::NotYet(_) => "not-yet",
--- a/src/logic/direct/queue.rs
+++ b/src/logic/direct/queue.rs
@@ -1,201 +1,211 @@
-//! Requests that wait: for room at a head, for a head to open, or for this router to
-//! know where anything is.
+//! Requests that wait: for room at a head, for a head that takes requests, or until this
+//! router knows the routing and the endpoint list.
 //!
-//! An answer that comes late is worth more to a caller than a refusal, which costs it one
-//! of its few tries. So a request waits for a part of its time, as long as those that
-//! wait with it are no more than are sent in such a time, and as long as waiting has led
-//! to answers lately. Whoever can still be answered within the objective goes first.
+//! A late answer is worth more to a caller than a refusal, which costs it one of its few
+//! tries. So a request waits for a part of its time, provided that no more requests wait
+//! with it than are sent within that time, and that waiting has recently led to answers.
+//! Requests that can still begin within their objective go first.
 
 use super::{accept, choose, end, send, DirectRequest, DirectState, Flight, LineKey, Turn};
 use crate::logic::Effect;
 use crate::types::Millis;
 
-/// Part of the time that a caller has, as its inverse, for which its request may wait. A
-/// caller that is told to come back then has time for another try.
-const HOLD_PART: Millis = 4;
+/// A request may wait for its caller's time divided by this. A caller that is refused then
+/// still has time for another try.
+const MAX_WAIT_DIVISOR: Millis = 4;
 
-/// Part of the objective, as its inverse, for which a request waits where waiting longer
-/// has led to refusals lately.
-const SHORT_PART: Millis = 6;
+/// A request waits for its objective divided by this if longer waits have recently ended in
+/// refusals.
+const SHORT_WAIT_DIVISOR: Millis = 6;
 
-/// Of so many requests one waits for its whole part all the same: by it shows that waiting
+/// One request in this many waits for the full time even then, which shows when waiting
 /// leads to answers again.
-const PROBES: u64 = 8;
+const FULL_WAIT_ONE_IN: u64 = 8;
 
-/// Time that a request may wait whose caller doesn't say how long it will.
-const HOLD_MS: Millis = 500;
+/// How long a request may wait if its caller names no time.
+const DEFAULT_WAIT_MS: Millis = 500;
 
-/// Requests that may wait before this router knows where anything is: at the target size
-/// it gets 32 in a second.
-const EARLY_MOST: usize = 256;
+/// Most requests held until the routing and the endpoint list are known. At the target
+/// fleet size a router gets 32 a second.
+const MAX_HELD: usize = 256;
 
-/// How long a request may wait whose caller waits for so long.
-pub(super) fn hold(wait: Option<Millis>) -> Millis {
-    wait.map_or(HOLD_MS, |wait| wait / HOLD_PART)
+/// How long a request may wait whose caller waits for `wait` milliseconds.
+pub(super) fn max_wait(wait: Option<Millis>) -> Millis {
+    wait.map_or(DEFAULT_WAIT_MS, |wait| wait / MAX_WAIT_DIVISOR)
 }
 
-/// Counts a request that was sent to an endpoint; it waits no longer.
-pub(super) fn sent(state: &mut DirectState, now: Millis, id: u64) {
-    leave(state, id);
+/// Handles a request that is sent to an endpoint: removes it from its queue and counts it.
+pub(super) fn on_sent(state: &mut DirectState, now: Millis, id: u64) {
+    remove(state, id);
     if let Some(flight) = state.flights.get(&id) {
         let late = flight.is_late(now);
-        let line = state.lines.entry(LineKey::of(flight)).or_default();
-        line.sent(now, late);
+        let queue = state.lines.entry(LineKey::of(flight)).or_default();
+        queue.on_sent(now, late);
     }
 }
 
-/// A request has found no endpoint: it waits where that is of use, or is given up.
-pub(super) fn park(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
+/// Enqueues a request that found no endpoint, or gives it up if it can't wait.
+pub(super) fn wait_or_give_up(
+    state: &mut DirectState,
+    now: Millis,
+    id: u64,
+    out: &mut Vec<Effect>,
+) {
     let Some(flight) = state.flights.get(&id).cloned() else {
         return;
     };
     let key = LineKey::of(&flight);
-    let line = state.lines.entry(key.clone()).or_default();
-    if now >= until(&flight, id, line.rewards(now)) {
+    let queue = state.lines.entry(key.clone()).or_default();
+    if now >= wait_end(&flight, id, queue.is_effective(now)) {
         if flight.is_late(now) {
-            line.refused(now);
+            queue.on_refused(now);
         }
         return end::give_up(state, now, id, "no endpoint had room in time", out);
     }
-    let hold = flight.held.saturating_sub(flight.arrived);
-    let fits = (line.waiting.len() as u64) < line.most(now, hold);
-    let used = line.is_used(now) || flight.headed;
-    if !used && !choose::any(state, &flight) {
-        return end::give_up(state, now, id, "no endpoint serves it", out);
+    let wait = flight.wait_until.saturating_sub(flight.arrived);
+    let fits = (queue.waiting.len() as u64) < queue.max_waiting(now, wait);
+    let active = queue.has_sent(now) || flight.head_sent;
+    if !active && !choose::has_candidate(state, &flight) {
+        return end::give_up(state, now, id, "no endpoint can serve it", out);
     }
     let place = (flight.turn, flight.priority, id);
     if fits || flight.turn == Turn::Resumed {
-        wait(state, &key, place);
+        insert(state, &key, place);
         return;
     }
-    // Where one that is late already waits, it has had its time.
-    match longest_late(state, now, &key) {
+    // A request that is not late takes the place of the late one that has waited longest.
+    match oldest_late(state, now, &key) {
         Some(old) if !flight.is_late(now) => {
-            wait(state, &key, place);
-            leave(state, old);
-            end::give_up(state, now, old, "too many wait", out);
+            insert(state, &key, place);
+            remove(state, old);
+            end::give_up(state, now, old, "the wait queue is full", out);
         }
-        _ => end::give_up(state, now, id, "too many wait", out),
+        _ => end::give_up(state, now, id, "the wait queue is full", out),
     }
 }
 
-/// Until when a request waits; `rewards` says whether waiting has led to answers lately.
-/// What was sent in vain has lost time already, and waits for its whole part.
-fn until(flight: &Flight, id: u64, rewards: bool) -> Millis {
-    let whole = rewards || flight.headed || !flight.tried.is_empty() || id % PROBES == 0;
-    if whole {
-        flight.held
+/// Time at which a request's wait ends; `effective` says whether waiting has recently led
+/// to answers. A request that was sent before has already lost time, and waits for the
+/// full time.
+fn wait_end(flight: &Flight, id: u64, effective: bool) -> Millis {
+    let full =
+        effective || flight.head_sent || !flight.tried.is_empty() || id % FULL_WAIT_ONE_IN == 0;
+    if full {
+        flight.wait_until
     } else {
-        let short = flight.arrived + flight.route.target_ms / SHORT_PART;
-        flight.held.min(short)
+        let short = flight.arrived + flight.route.target_ms / SHORT_WAIT_DIVISOR;
+        flight.wait_until.min(short)
     }
 }
 
-fn wait(state: &mut DirectState, key: &LineKey, place: (Turn, u8, u64)) {
-    if let Some(line) = state.lines.get_mut(key) {
-        line.waiting.insert(place);
+fn insert(state: &mut DirectState, key: &LineKey, place: (Turn, u8, u64)) {
+    if let Some(queue) = state.lines.get_mut(key) {
+        queue.waiting.insert(place);
     }
 }
 
-/// The one that has waited longest of those that are late already.
-fn longest_late(state: &DirectState, now: Millis, key: &LineKey) -> Option<u64> {
-    let line = state.lines.get(key)?;
+/// The oldest of the late requests in a queue.
+fn oldest_late(state: &DirectState, now: Millis, key: &LineKey) -> Option<u64> {
+    let queue = state.lines.get(key)?;
     let late = |id: &u64| state.flights.get(id).is_some_and(|f| f.is_late(now));
-    line.waiting.iter().map(|(.., id)| *id).filter(late).min()
+    queue.waiting.iter().map(|(.., id)| *id).filter(late).min()
 }
 
-/// A request waits no longer.
-pub(super) fn leave(state: &mut DirectState, id: u64) {
+/// Removes a request from its queue, if it waits in one.
+pub(super) fn remove(state: &mut DirectState, id: u64) {
     let Some(flight) = state.flights.get(&id) else {
         return;
     };
     let place = (flight.turn, flight.priority, id);
-    if let Some(line) = state.lines.get_mut(&LineKey::of(flight)) {
-        line.waiting.remove(&place);
+    if let Some(queue) = state.lines.get_mut(&LineKey::of(flight)) {
+        queue.waiting.remove(&place);
     }
 }
 
-/// Sends what waits, as far as there is room.
-pub(super) fn serve(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let waits = state.lines.iter().filter(|(_, l)| !l.waiting.is_empty());
-    let keys: Vec<LineKey> = waits.map(|(key, _)| key.clone()).collect();
+/// Sends waiting requests as far as endpoints have room.
+pub(super) fn send_waiting(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let waiting = state.lines.iter().filter(|(_, l)| !l.waiting.is_empty());
+    let keys: Vec<LineKey> = waiting.map(|(key, _)| key.clone()).collect();
     for key in keys {
-        for id in in_order(state, now, &key) {
-            let sent = send::try_now(state, now, id, out);
-            // Who is sent again leaves endpoints out that others may use.
-            let again = state
+        for id in send_order(state, now, &key) {
+            let sent = send::try_send(state, now, id, out);
+            // A resumed request skips endpoints that it was sent to, which others may use.
+            let resumed = state
                 .flights
                 .get(&id)
                 .is_some_and(|f| f.turn == Turn::Resumed);
-            if !sent && !again {
+            if !sent && !resumed {
                 break;
             }
         }
     }
 }
 
-/// Those that wait in one line, by turn and rank; the late go last.
-fn in_order(state: &DirectState, now: Millis, key: &LineKey) -> Vec<u64> {
-    let Some(line) = state.lines.get(key) else {
+/// Requests of one queue in the order in which they are sent: by turn, the late ones last,
+/// then by priority and arrival.
+fn send_order(state: &DirectState, now: Millis, key: &LineKey) -> Vec<u64> {
+    let Some(queue) = state.lines.get(key) else {
         return Vec::new();
     };
     let late = |id: &u64| state.flights.get(id).is_some_and(|f| f.is_late(now));
-    let ranked = line
+    let sorted = queue
         .waiting
         .iter()
-        .map(|(turn, rank, id)| (*turn, late(id), *rank, *id));
-    let mut ranked: Vec<_> = ranked.collect();
-    ranked.sort_unstable();
-    ranked.into_iter().map(|(.., id)| id).collect()
+        .map(|(turn, priority, id)| (*turn, late(id), *priority, *id));
+    let mut sorted: Vec<_> = sorted.collect();
+    sorted.sort_unstable();
+    sorted.into_iter().map(|(.., id)| id).collect()
 }
 
-/// Ends the wait of those whose time for it is over, and of those that came early.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Ends the wait of requests whose time to wait is over, in the queues and among those held
+/// until the routing is known.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let waiting = state.lines.values().flat_map(|l| l.waiting.iter());
     let waiting: Vec<u64> = waiting.map(|(.., id)| *id).collect();
     for id in waiting {
-        if is_over(state, now, id) {
-            leave(state, id);
-            park(state, now, id, out);
+        if is_wait_over(state, now, id) {
+            remove(state, id);
+            wait_or_give_up(state, now, id, out);
         }
     }
     state
         .lines
-        .retain(|_, line| line.is_used(now) || !line.waiting.is_empty());
-    let held = |(at, request): &(Millis, DirectRequest)| now < at + hold(request.wait_ms);
+        .retain(|_, queue| queue.has_sent(now) || !queue.waiting.is_empty());
+    let held = |(at, request): &(Millis, DirectRequest)| now < at + max_wait(request.wait_ms);
     let (held, over) = std::mem::take(&mut state.early).into_iter().partition(held);
     state.early = held;
     for (_, mut request) in over {
-        let waited = hold(request.wait_ms);
+        let waited = max_wait(request.wait_ms);
         request.wait_ms = request.wait_ms.map(|wait| wait - waited);
-        accept::unknown(state, &request, out);
+        accept::refuse_not_ready(state, &request, out);
     }
 }
 
-fn is_over(state: &mut DirectState, now: Millis, id: u64) -> bool {
+fn is_wait_over(state: &mut DirectState, now: Millis, id: u64) -> bool {
     let Some(flight) = state.flights.get(&id) else {
         return false;
     };
-    let line = state.lines.get_mut(&LineKey::of(flight));
-    let rewards = line.is_none_or(|l| l.rewards(now));
-    now >= until(flight, id, rewards)
+    let queue = state.lines.get_mut(&LineKey::of(flight));
+    let effective = queue.is_none_or(|q| q.is_effective(now));
+    now >= wait_end(flight, id, effective)
 }
 
-/// A request has come before this router knows where anything is; true where it waits.
-pub(super) fn early(state: &mut DirectState, now: Millis, request: &DirectRequest) -> bool {
-    let waits = state.early.len() < EARLY_MOST;
-    if waits {
+/// Holds a request until the routing and the endpoint list are known; false if there are too
+/// many.
+pub(super) fn hold(state: &mut DirectState, now: Millis, request: &DirectRequest) -> bool {
+    let has_room = state.early.len() < MAX_HELD;
+    if has_room {
         state.early.push((now, request.clone()));
     }
-    waits
+    has_room
 }
 
-/// What came early is taken up, once this router knows enough.
-pub(super) fn take_up(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    if state.routing.is_none() || !state.listed || state.pause.since.is_some() {
+/// Admits the held requests once the routing and the endpoint list are known.
+pub(super) fn admit_held(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    if state.routing.is_none() || !state.listed || state.pause.waiting_since.is_some() {
         return;
     }
     for (at, request) in std::mem::take(&mut state.early) {
-        accept::taken(state, now, at, request, out);
+        accept::admit(state, now, at, request, out);
     }
 }
--- a/src/logic/direct/rate_share.rs
+++ b/src/logic/direct/rate_share.rs
@@ -1,18 +1,18 @@
 use crate::types::{Millis, RequestRate};
 
-/// The limit that an endpoint has named for all routers together, and this router's part.
+/// Rate limit that an endpoint has named for all routers together, and this router's share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RateShare {
     /// Requests a second that the endpoint takes from all routers.
     pub rate: RequestRate,
-    /// Since when it is known here.
-    pub since: Millis,
-    /// When it was last heard of.
-    pub heard: Millis,
-    /// When other routers were last told.
-    pub told: Millis,
-    /// Time between two requests of this router; none where others send all of them.
+    /// Time since which it is known here.
+    pub known_since: Millis,
+    /// Time at which an answer or another router last named it.
+    pub confirmed_at: Millis,
+    /// Time at which this router last broadcast it; 0 before that.
+    pub broadcast_at: Millis,
+    /// Time between two requests of this router; none if it holds no share.
     pub gap: Option<Millis>,
-    /// When this router may send the next one.
+    /// Time from which this router may send the next request.
     pub next_at: Millis,
 }
--- a/src/logic/direct/recent_peak.rs
+++ b/src/logic/direct/recent_peak.rs
@@ -2,15 +2,15 @@
 
 use crate::types::Millis;
 
-/// Highest value of a number over a sliding span.
+/// Highest of the values recorded within a sliding window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecentPeak {
-    /// When each value was last seen; the values fall.
+    /// Values with the time at which each was last recorded, oldest first; the values fall.
     values: VecDeque<(Millis, u64)>,
 }
 
 impl RecentPeak {
-    /// Takes a value in and forgets what is older than the span.
+    /// Records a value and drops those older than `span` milliseconds.
     pub fn record(&mut self, now: Millis, span: Millis, value: u64) {
         while self.values.back().is_some_and(|(_, v)| *v <= value) {
             self.values.pop_back();
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The highest value; 0 before the first one.
+    /// Highest value; 0 before the first one.
     pub fn highest(&self) -> u64 {
         self.values.front().map_or(0, |(_, v)| *v)
     }
--- a/src/logic/direct/retry_terms.rs
+++ b/src/logic/direct/retry_terms.rs
@@ -1,21 +1,21 @@
 use super::DirectKnobs;
 use crate::types::Millis;
 
-/// What bounds a router's retries at one moment.
+/// Retry budget: the bounds of a router's retries at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RetryTerms {
-    /// Span over which retries are counted, in milliseconds.
+    /// Window in which retries are counted, in milliseconds.
     pub window: Millis,
-    /// Retries for a thousand requests.
+    /// Retries per thousand requests.
     pub ratio: u64,
-    /// Retries that all routers may send beside, in thousandths.
+    /// Further retries of all routers together, in thousandths of a retry.
     pub extra: u64,
-    /// Routers that share those.
+    /// Routers that share the further retries.
     pub routers: u64,
 }
 
 impl RetryTerms {
-    /// Terms by the settings, for so many routers.
+    /// Budget by the router's parameters, shared by `routers`.
     pub fn new(knobs: &DirectKnobs, routers: u64) -> Self {
         Self {
             window: knobs.retry_window,
--- a/src/logic/direct/retry_window.rs
+++ b/src/logic/direct/retry_window.rs
@@ -3,18 +3,18 @@
 use super::RetryTerms;
 use crate::types::Millis;
 
-/// Slots that a window is counted in.
+/// Slots of a window.
 const SLOTS: u64 = 10;
 
-/// Fewest routers that the fixed number is divided by: with fewer, some stay in reserve
-/// for routers that this one hasn't heard of yet.
-const LEAST_PARTS: u64 = 16;
+/// Fewest routers that the fixed number is divided by. If there are fewer, the rest is kept
+/// for routers that this one doesn't know yet.
+const MIN_ROUTERS: u64 = 16;
 
-/// Requests and retries of one service over a sliding span.
+/// Requests and retries of one service in a sliding window.
 ///
-/// All routers together may retry a share of the requests and a fixed number beside.
-/// Each router keeps to the share of its own requests and to its even part of the
-/// number, so that none has to ask the others.
+/// All routers together may retry a share of the requests and a fixed number on top. Each
+/// router keeps to that share of its own requests and to an even part of the fixed number,
+/// so that no router has to ask the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RetryWindow {
     slots: VecDeque<Slot>,
@@ -33,11 +33,11 @@
         self.slot(now, window).requests += 1;
     }
 
-    /// Pays for a retry, where there is room.
+    /// Counts a retry if the budget allows it; false if it doesn't.
     pub fn retry(&mut self, now: Millis, terms: &RetryTerms) -> bool {
         self.slot(now, terms.window);
         let (requests, retries) = self.counts();
-        let part = terms.extra / terms.routers.max(LEAST_PARTS);
+        let part = terms.extra / terms.routers.max(MIN_ROUTERS);
         let allowed = requests * terms.ratio + part;
         let paid = (retries + 1) * 1_000 <= allowed;
         if paid {
@@ -46,8 +46,8 @@
         paid
     }
 
-    /// Requests and retries in the window. The oldest slot ends within the window, so that
-    /// its retries count still and its requests no more.
+    /// Requests and retries in the window. The oldest slot lies only partly in the window: its
+    /// retries still count and its requests don't, which errs on the safe side.
     pub fn counts(&self) -> (u64, u64) {
         let newest = self.slots.back().map_or(0, |s| s.at);
         let inside = self.slots.iter().filter(|s| s.at + SLOTS > newest);
--- a/src/logic/direct/run_part.rs
+++ b/src/logic/direct/run_part.rs
@@ -7,25 +7,25 @@
     Head,
     /// One event of a stream.
     Piece {
-        /// Its id, where it has one.
+        /// Its id, if it has one.
         id: Option<u64>,
         /// Its bytes.
         bytes: Bytes,
     },
-    /// The stream has ended in order.
+    /// The stream has ended normally.
     End,
-    /// A whole answer has arrived; the host keeps it.
+    /// A complete answer has arrived; the host keeps it.
     Whole {
-        /// Its status.
+        /// HTTP status.
         status: u16,
         /// Whether the endpoint says that it did not run the request.
         not_run: bool,
     },
-    /// Nothing was sent: no connection came up.
+    /// Nothing was sent because no connection could be opened.
     NotSent {
-        /// Whether the address refused, rather than stayed silent.
+        /// Whether the connection was refused, rather than left unanswered.
         refused: bool,
     },
-    /// The answer broke off, or was none; the request may have run.
+    /// The answer was cut off or invalid; the request may have run.
     Broken,
 }
--- a/src/logic/direct/run_request.rs
+++ b/src/logic/direct/run_request.rs
@@ -6,24 +6,25 @@
 /// One run of a request at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RunRequest {
-    /// Number of the run, echoed with each part.
+    /// Number of the run, returned with each part of the answer.
     pub run: u64,
-    /// The request.
+    /// Number of the request.
     pub request: u64,
     /// The endpoint.
     pub to: InstanceId,
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Milliseconds that are left for it.
+    /// Time left until the request's deadline, in milliseconds.
     pub wait_ms: Millis,
     /// Client account; absent on a route without keys.
     pub account: Option<Arc<str>>,
-    /// Rank at the endpoint; 0 comes first.
+    /// Priority at the endpoint; 0 is served first.
     pub priority: u8,
-    /// Event after which the stream goes on.
+    /// Id of the stream event after which the answer continues.
     pub last_event: Option<u64>,
     /// Whether the answer is wanted as a stream of events.
     pub stream: bool,
-    /// Whether only a connection may be used that is sure to be open.
+    /// Whether to use no pooled connection that the endpoint may be closing, as the request
+    /// can't be repeated.
     pub careful: bool,
 }
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an endpoint, and to another one after a failure.
+//! Sends a request to an endpoint, and retries it at another one after a failure.
 
 use super::{
     choose, crashes, end, peers, queue, rates, DirectEffect, DirectState, Flight, Mechanism,
@@ -8,33 +8,33 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Millis, RouteKind};
 
-/// Highest rank that an endpoint knows.
-const LAST_RANK: u8 = 9;
+/// Highest priority value that an endpoint accepts; 0 is served first.
+const MAX_PRIORITY: u8 = 9;
 
-/// Rank at the endpoint: that of the route, a step for each turn behind the first.
-fn rank(flight: &Flight) -> u8 {
-    (flight.priority + flight.turn as u8).min(LAST_RANK)
+/// Priority at the endpoint: that of the request, plus one unless its stream is resumed.
+fn endpoint_priority(flight: &Flight) -> u8 {
+    (flight.priority + flight.turn as u8).min(MAX_PRIORITY)
 }
 
-/// Time that a stream which is half given waits for a head to take it up: groups
-/// form anew within it, and callers wait longer.
-const RESUME_MS: Millis = 1_500;
+/// How long a partly delivered stream waits for a head that resumes it. Groups form again
+/// within this time, and callers wait longer.
+const RESUME_WAIT_MS: Millis = 1_500;
 
-/// Sends a request to the endpoint that suits it best, has it wait for one, or ends it.
-pub(super) fn next(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
+/// Sends a request to the best endpoint, enqueues it, or ends it.
+pub(super) fn send_or_wait(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
     let Some(flight) = state.flights.get(&id) else {
         return;
     };
     if now >= flight.deadline {
-        return end::out_of_time(state, now, id, out);
+        return end::time_out(state, now, id, out);
     }
-    if !try_now(state, now, id, out) {
-        queue::park(state, now, id, out);
+    if !try_send(state, now, id, out) {
+        queue::wait_or_give_up(state, now, id, out);
     }
 }
 
-/// Sends a request to the endpoint that suits it best; false where none takes it now.
-pub(super) fn try_now(
+/// Sends a request to the best endpoint; false if none can take it now.
+pub(super) fn try_send(
     state: &mut DirectState,
     now: Millis,
     id: u64,
@@ -46,7 +46,7 @@
     let Some(to) = choose::pick(state, now, &flight) else {
         return false;
     };
-    queue::sent(state, now, id);
+    queue::on_sent(state, now, id);
     let run = state.number();
     let version = state.routing.as_ref().map_or(0, |r| r.version);
     let Some(view) = state.endpoints.get_mut(&to) else {
@@ -55,21 +55,21 @@
     if view.running == 0 {
         view.heard = view.heard.max(now);
     }
-    rates::sent(view, now);
+    rates::on_sent(view, now);
     view.running += 1;
     view.unread += u64::from(flight.prompt);
     let (addr, epoch) = (view.entry.addr, view.epoch());
-    let note = Note::new(NoteCode::FlightSent)
+    let event = Note::new(NoteCode::FlightSent)
         .with("request", &flight.label)
         .with("fingerprint", flight.fingerprint)
         .with("endpoint", &to)
         .with("running", view.running)
         .with("turn", format!("{:?}", flight.turn))
-        .with("waited", now.saturating_sub(flight.moved))
+        .with("waited", now.saturating_sub(flight.event_at))
         .with("limit", view.limit)
         .with("beat_age", now.saturating_sub(view.beat_at))
         .with("version", version);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     out.push(Effect::Direct(DirectEffect::Run(Box::new(RunRequest {
         run,
         request: id,
@@ -77,7 +77,7 @@
         addr,
         wait_ms: flight.deadline - now,
         account: flight.account.clone(),
-        priority: rank(&flight),
+        priority: endpoint_priority(&flight),
         last_event: flight.last_event,
         stream: flight.route.kind == RouteKind::Streaming,
         careful: !flight.route.repeatable(),
@@ -98,10 +98,11 @@
     true
 }
 
-/// Sends a request again after a failed run, where that is allowed and paid for.
+/// Retries a request after a failed run if its route and the retry budget allow it, and
+/// gives it up otherwise.
 ///
-/// `ran` says whether the failed run may have run.
-pub(super) fn again(
+/// `ran` is false if the endpoint can't have run it.
+pub(super) fn retry(
     state: &mut DirectState,
     now: Millis,
     id: u64,
@@ -117,12 +118,12 @@
     }
     let repeatable = flight.route.repeatable();
     let allowed = flight.runs < flight.route.attempts && (!ran || repeatable);
-    let sends = flight.tried.len() as u32 <= flight.route.attempts + 1;
+    let below_max_sends = flight.tried.len() as u32 <= flight.route.attempts + 1;
     let (service, fingerprint) = (flight.service.clone(), flight.fingerprint);
     if ran && crashes::is_risky(state, &fingerprint) {
-        return end::give_up(state, now, id, "endpoints crashed under it", out);
+        return end::give_up(state, now, id, "endpoints crashed while running it", out);
     }
-    if !allowed || !sends || !pays(state, now, &service) {
+    if !allowed || !below_max_sends || !spend_retry(state, now, &service) {
         return end::give_up(state, now, id, why, out);
     }
     let waits = state.knobs.on(Mechanism::ResumeWait);
@@ -130,13 +131,13 @@
     let (requests, retries) = window.map_or((0, 0), RetryWindow::counts);
     let age = state.age(now);
     if let Some(flight) = state.flights.get_mut(&id) {
-        if flight.headed {
+        if flight.head_sent {
             flight.turn = Turn::Resumed;
         }
-        if flight.headed && waits {
-            flight.held = flight.held.max(now + RESUME_MS);
+        if flight.head_sent && waits {
+            flight.wait_until = flight.wait_until.max(now + RESUME_WAIT_MS);
         }
-        let note = Note::new(NoteCode::FlightMoved)
+        let event = Note::new(NoteCode::FlightMoved)
             .with("request", &flight.label)
             .with("why", why)
             .with("runs", flight.runs)
@@ -144,19 +145,19 @@
             .with("retries", retries)
             .with("requests", requests)
             .with("age", age);
-        out.push(Effect::Note(note));
-        end::measure(flight, Metric::Retry, 1, out);
+        out.push(Effect::Note(event));
+        end::record_metric(flight, Metric::Retry, 1, out);
     }
-    next(state, now, id, out);
+    send_or_wait(state, now, id, out);
 }
 
-/// Whether the budget pays for a retry.
-fn pays(state: &mut DirectState, now: Millis, service: &std::sync::Arc<str>) -> bool {
+/// Spends a retry of the service's budget; false if the budget has none left.
+fn spend_retry(state: &mut DirectState, now: Millis, service: &std::sync::Arc<str>) -> bool {
     peers::count(state, now);
     let terms = RetryTerms::new(&state.knobs, state.routers.highest());
     let window = state.retries.entry(service.clone()).or_default();
-    let proven = state.retries_from.is_some_and(|from| now >= from);
-    let paid = proven && window.retry(now, &terms);
+    let enabled = state.retries_from.is_some_and(|from| now >= from);
+    let paid = enabled && window.retry(now, &terms);
     if paid {
         state.retries_paid += 1;
     } else {
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -1,68 +1,69 @@
-//! Finds endpoints that have gone silent while they had work.
+//! Finds endpoints that send nothing although they have runs, and moves their streams.
 
 use super::{choose, end, peers, plan, send, DirectState, Mechanism};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{InstanceId, Millis, RouteKind};
 
-/// Times its usual longest pause that a head may be silent.
-const PAUSES: u64 = 3;
+/// How many times its usual longest pause a head may be silent.
+const SILENCE_FACTOR: u64 = 3;
 
-/// Time after which a silent endpoint that has no more work here may be tried
-/// again, if it still heads a group.
-const FORGIVEN_MS: Millis = 1_000;
+/// Time after which a silent endpoint without runs of this router may get requests again.
+const SILENCE_EXPIRY_MS: Millis = 1_000;
 
-/// Shortest pause of a working head after which its group is looked at. A look is
-/// cheap and moves nothing.
-const DOUBT_MS: Millis = 150;
+/// Shortest silence of a head with runs after which its group is suspected and probed. A
+/// probe is cheap and moves no stream.
+const SUSPECT_MS: Millis = 150;
 
-/// Part of its usual longest pause after which a head is looked at, in hundredths.
-const DOUBT: u64 = 150;
+/// Silence relative to a head's usual longest pause after which it is suspected.
+const SUSPECT_PERCENT: u64 = 150;
 
-/// Time between two words to the planner about one endpoint.
-const WARN_MS: Millis = 300;
+/// Time between two reports of one endpoint to the planner.
+const REPORT_INTERVAL_MS: Millis = 300;
 
-/// Times the limit after which a silent head is left without any other sign. Under
-/// load heads are slow together, and moving streams among them adds to it.
-const SURE: u64 = 4;
+/// How many times the silence limit the streams of a silent head wait before they are moved
+/// without any other sign. Under load all heads are slow at once, and moving streams among
+/// them adds to the load.
+const MOVE_FACTOR: u64 = 4;
 
-/// Looks for silent heads and moves what waits for them.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let silence = state.knobs.silence_ms;
+/// Finds silent heads, reports suspected ones to the planner and moves streams away.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let min_limit = state.knobs.silence_ms;
     let early = state.knobs.on(Mechanism::EarlyLooks);
-    let mut found = Vec::new();
-    let mut doubted = Vec::new();
+    let mut silent = Vec::new();
+    let mut suspected = Vec::new();
     for (id, view) in &mut state.endpoints {
         if view.running == 0 {
-            // Nobody waits for it here any more: it may be tried again.
-            let since = view.silent.filter(|since| now >= since + FORGIVEN_MS);
-            view.silent = view.silent.filter(|_| since.is_none());
+            // No request of this router waits for it any more.
+            let expired = view.silent.filter(|since| now >= since + SILENCE_EXPIRY_MS);
+            view.silent = view.silent.filter(|_| expired.is_none());
             continue;
         }
         if view.entry.domain.is_empty() {
             continue;
         }
-        let still = now.saturating_sub(view.heard);
-        let doubt = still >= DOUBT_MS.max(view.pause * DOUBT / 100) && now >= view.warned + WARN_MS;
-        if doubt && early {
+        let silence = now.saturating_sub(view.heard);
+        let suspect = silence >= SUSPECT_MS.max(view.pause * SUSPECT_PERCENT / 100)
+            && now >= view.warned + REPORT_INTERVAL_MS;
+        if suspect && early {
             view.warned = now;
-            doubted.push(id.clone());
+            suspected.push(id.clone());
         }
-        let limit = silence.max((view.pause * PAUSES).min(silence * 5));
-        if still < limit {
+        let limit = min_limit.max((view.pause * SILENCE_FACTOR).min(min_limit * 5));
+        if silence < limit {
             continue;
         }
         if view.silent.is_none() {
             view.silent = Some(now);
-            let note = Note::new(NoteCode::EndpointSilent)
+            let event = Note::new(NoteCode::EndpointSilent)
                 .with("endpoint", id)
-                .with("still", still)
+                .with("still", silence)
                 .with("limit", limit)
                 .with("running", view.running);
-            out.push(Effect::Note(note));
+            out.push(Effect::Note(event));
         }
-        found.push((id.clone(), still >= limit * SURE || !view.heads()));
+        silent.push((id.clone(), silence >= limit * MOVE_FACTOR || !view.heads()));
     }
-    for id in doubted {
+    for id in suspected {
         if state.plan.duty.holds(now) {
             plan::suspect(state, now, &id, out);
         } else {
@@ -72,34 +73,34 @@
     if !state.knobs.on(Mechanism::Silence) {
         return;
     }
-    outlived(state, now, out);
-    for (id, sure) in found {
-        if sure || plan::given_up(state, &id) {
-            leave(state, now, &id, false, out);
+    move_from_ended_groups(state, now, out);
+    for (id, lost) in silent {
+        if lost || plan::given_up(state, &id) {
+            move_streams(state, now, &id, false, out);
         }
     }
 }
 
-/// Takes streams away from heads whose group is over, though they head another.
-fn outlived(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let over = |f: &super::Flight| {
+/// Moves streams away from heads whose group has ended, though they head another one now.
+fn move_from_ended_groups(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let ended = |f: &super::Flight| {
         let run = f.run.as_ref()?;
         let view = state.endpoints.get(&run.at)?;
         (run.epoch != view.epoch() && view.heads()).then(|| run.at.clone())
     };
-    let ids: std::collections::BTreeSet<_> = state.flights.values().filter_map(over).collect();
+    let ids: std::collections::BTreeSet<_> = state.flights.values().filter_map(ended).collect();
     for id in ids {
-        leave(state, now, &id, true, out);
+        move_streams(state, now, &id, true, out);
     }
 }
 
-/// Takes every stream that may be resumed away from a lost endpoint; with `old`
-/// only those of an earlier group of it.
-fn leave(
+/// Moves every stream that can be resumed away from an endpoint; with `earlier_group` only
+/// those that were sent to an earlier group of it.
+fn move_streams(
     state: &mut DirectState,
     now: Millis,
     from: &InstanceId,
-    old: bool,
+    earlier_group: bool,
     out: &mut Vec<Effect>,
 ) {
     let epoch = state.endpoints.get(from).map_or(0, |v| v.epoch());
@@ -107,23 +108,23 @@
         let here = f
             .run
             .as_ref()
-            .is_some_and(|r| r.at == *from && (!old || r.epoch != epoch));
-        let left = f.runs < f.route.attempts;
-        here && left && f.route.repeatable() && f.route.kind == RouteKind::Streaming
+            .is_some_and(|r| r.at == *from && (!earlier_group || r.epoch != epoch));
+        let has_attempts = f.runs < f.route.attempts;
+        here && has_attempts && f.route.repeatable() && f.route.kind == RouteKind::Streaming
     };
-    let waiting: Vec<u64> = state
+    let streams: Vec<u64> = state
         .flights
         .iter()
         .filter(|(_, f)| movable(f))
         .map(|(id, _)| *id)
         .collect();
-    for id in waiting {
-        // Where nobody else would take it, the silent one may still come back.
-        let other = state.flights.get(&id).cloned();
-        if other.and_then(|f| choose::pick(state, now, &f)).is_none() {
+    for id in streams {
+        // If no other endpoint can take it, it stays: the silent one may still go on.
+        let flight = state.flights.get(&id).cloned();
+        if flight.and_then(|f| choose::pick(state, now, &f)).is_none() {
             continue;
         }
         end::cancel(state, id, out);
-        send::again(state, now, id, true, "the endpoint is silent", out);
+        send::retry(state, now, id, true, "the endpoint is silent", out);
     }
 }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -13,7 +13,7 @@
         state.ticked_at = now;
         state.drained_at = now;
     }
-    pause::notice(state, now, out);
+    pause::detect(state, now, out);
     match event {
         Event::Stop => stop(state, now),
         Event::Store { call, result } if state.presence.call == Some(call) => {
@@ -33,8 +33,8 @@
         Event::Tick => tend(state, now, out),
         _ => {}
     }
-    queue::take_up(state, now, out);
-    queue::serve(state, now, out);
+    queue::admit_held(state, now, out);
+    queue::send_waiting(state, now, out);
     tell_ready(state, out);
     digests::tend(state, now, out);
 }
@@ -47,8 +47,8 @@
         }
         DirectEvent::StoreBack => peers::store_back(state, out),
         DirectEvent::RoutingRead => state.digests.routing_at = state.drained_at,
-        DirectEvent::RoutingChecked { asked } => pause::checked(state, asked),
-        DirectEvent::StoreEra(era) => store::entered(state, now, era, out),
+        DirectEvent::RoutingChecked { asked } => pause::on_routing_checked(state, asked),
+        DirectEvent::StoreEra(era) => store::on_store_era(state, now, era, out),
         DirectEvent::List { at, entries } => {
             // What the first reading of an era shows isn't told as news, so that they begin
             // behind it.
@@ -70,10 +70,12 @@
             }
             digests::list_read(state, now, before, at);
         }
-        DirectEvent::Request(request) => accept::arrived(state, now, *request, out),
-        DirectEvent::Gone(id) => end::caller_gone(state, id, out),
-        DirectEvent::Part { run, part } => answer::part(state, now, run, part, out),
-        DirectEvent::Rated { id, run, rate } => rates::named(state, now, &id, run, rate, out),
+        DirectEvent::Request(request) => accept::on_request(state, now, *request, out),
+        DirectEvent::Gone(id) => end::on_caller_gone(state, id, out),
+        DirectEvent::Part { run, part } => answer::on_run_part(state, now, run, part, out),
+        DirectEvent::Rated { id, run, rate } => {
+            rates::on_answer_rate(state, now, &id, run, rate, out)
+        }
         DirectEvent::Looked { id, result } => {
             peers::looked(state, now, &id, &result, out);
             crashes::looked(state, now, &id, &result, out);
@@ -119,12 +121,12 @@
 fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     state.drained_at = state.ticked_at;
     state.ticked_at = now;
-    pause::tend(state, now, out);
-    end::tend(state, now, out);
-    queue::tend(state, now, out);
-    silence::tend(state, now, out);
+    pause::on_tick(state, now, out);
+    end::on_tick(state, now, out);
+    queue::on_tick(state, now, out);
+    silence::on_tick(state, now, out);
     endpoints::tend(state, now);
-    rates::tend(state, now, out);
+    rates::on_tick(state, now, out);
     peers::tend(state, now, out);
     crashes::tend(state, now, out);
     demand::tend(state, now, out);
--- a/src/logic/direct/turn.rs
+++ b/src/logic/direct/turn.rs
@@ -1,10 +1,10 @@
-/// Whose turn it is where not all requests have room; the first comes first.
+/// Precedence of a request where not all have room; the first variant goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Turn {
-    /// Its stream has begun and is taken up elsewhere: what was spent on it is lost
-    /// otherwise.
+    /// Its stream has begun and is to be resumed at another endpoint; otherwise the work
+    /// spent on it is lost.
     Resumed,
-    /// It hasn't run. One that was refused before and has come back looks like any other:
-    /// callers set times of their own, so that a short one tells nothing.
+    /// Any other request. One that its caller sends again after a refusal is not told apart:
+    /// callers set deadlines of their own, so a short one proves nothing.
     Fresh,
 }
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -165,15 +165,15 @@
 #[test]
 fn a_line_is_open_while_four_late_ones_got_an_endpoint_for_each_in_vain() {
     let mut line = Line::default();
-    assert!(line.rewards(0), "nothing is known yet");
-    line.refused(100);
-    assert!(!line.rewards(100));
+    assert!(line.is_effective(0), "nothing is known yet");
+    line.on_refused(100);
+    assert!(!line.is_effective(100));
     for late in [false, true, true] {
-        line.sent(200, late);
+        line.on_sent(200, late);
     }
-    assert!(line.rewards(200), "two, and two that are added");
-    line.refused(200);
-    assert!(!line.rewards(300));
-    assert!(line.rewards(6_000), "it is forgotten");
-    assert!(!line.is_used(6_000));
+    assert!(line.is_effective(200), "two, and two that are added");
+    line.on_refused(200);
+    assert!(!line.is_effective(300));
+    assert!(line.is_effective(6_000), "it is forgotten");
+    assert!(!line.has_sent(6_000));
 }
