--- a/tests/direct/answers.rs
+++ b/tests/direct/answers.rs
@@ -21,7 +21,7 @@
     assert_ne!(second.to, first.to);
     assert_eq!(second.last_event, Some(2));
     let head = router.part(second.run, RunPart::Head);
-    assert!(head.is_empty(), "the first head stands: {head:?}");
+    assert!(head.is_empty(), "the caller already has a head: {head:?}");
     assert!(router.part(second.run, piece(2)).is_empty());
     assert_eq!(router.part(second.run, piece(3)).len(), 1);
     let end = router.part(second.run, RunPart::End);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn parts_of_a_run_that_was_left_change_nothing() {
+fn parts_of_an_ended_run_change_nothing() {
     let mut router = two_groups();
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
@@ -42,7 +42,10 @@
 fn what_may_not_be_repeated_is_sent_again_only_where_it_did_not_run() {
     let mut router = Router::new(vec![plain(1), plain(2)]);
     let first = run(&router.ask(1, "/once/x"));
-    assert!(first.careful, "only a connection that is sure to be open");
+    assert!(
+        first.careful,
+        "no connection that the endpoint may be closing"
+    );
     let shed = RunPart::Whole {
         status: 503,
         not_run: true,
@@ -50,7 +53,7 @@
     let second = run(&router.part(first.run, shed));
     assert_ne!(second.to, first.to);
     let end = router.part(second.run, RunPart::Broken);
-    assert_eq!(problem(&end), Some(Problem::Unknown), "never a promise");
+    assert_eq!(problem(&end), Some(Problem::Unknown), "it may have run");
 }
 
 #[test]
@@ -85,7 +88,7 @@
     assert!(router.take().contains(&DirectEffect::Cut(1)));
 }
 
-/// An endpoint may have begun with it: that it has not run would be a guess.
+/// Guards against a false "not run": the endpoint may have begun to run the request.
 #[test]
 fn a_request_that_was_sent_ends_at_its_time_and_nobody_says_that_it_has_not_run() {
     for path in ["/stream/x", "/once/x", "/safe/x"] {
@@ -99,29 +102,30 @@
     }
 }
 
-/// Whoever may repeat it does so without being told that nothing ran.
+/// Guards against a false "not run" for a request whose two runs both broke off. Its caller
+/// may send it again in any case.
 #[test]
 fn a_stream_that_two_heads_have_lost_is_no_request_that_has_not_run() {
     let mut router = two_groups();
     let first = run(&router.ask(1, "/stream/x"));
     let second = run(&router.part(first.run, RunPart::Broken));
-    let told = problem(&router.part(second.run, RunPart::Broken));
-    assert_eq!(told, Some(Problem::Unknown));
+    let answer = problem(&router.part(second.run, RunPart::Broken));
+    assert_eq!(answer, Some(Problem::Unknown));
 }
 
 #[test]
 fn where_nobody_serves_a_model_the_caller_hears_at_once_when_to_come_back() {
     let mut router = Router::new(Vec::new());
-    let told = problem(&router.ask(1, "/stream/x"));
+    let answer = problem(&router.ask(1, "/stream/x"));
     let third = 5_000 / 3;
     assert!(
-        matches!(told, Some(Problem::NotRun(ms)) if ms <= third && ms >= third / 2),
-        "{told:?}"
+        matches!(answer, Some(Problem::NotRun(ms)) if ms <= third && ms >= third / 2),
+        "{answer:?}"
     );
 }
 
 #[test]
-fn streams_of_a_silent_head_move_after_four_limits() {
+fn streams_of_a_silent_head_move_after_four_times_the_silence_limit() {
     let mut router = two_groups();
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
@@ -175,12 +179,12 @@
         again += usize::from(effects.iter().any(|e| matches!(e, DirectEffect::Run(_))));
         router.pass(20);
     }
-    // 200 in 1,000 requests and a sixteenth of 160, in any ten seconds.
+    // 200 per 1,000 requests and a sixteenth of 160 retries, in any 10 s.
     assert!((60..=115).contains(&again), "{again}");
 }
 
-/// Found by the whole path over real processes, once in six runs: a head that
-/// formed anew while its router missed it got nothing any more.
+/// Guards against a head that stays unused: its group formed again while this router counted
+/// the head as silent, and the head got no more requests.
 #[test]
 fn a_head_that_was_silent_is_used_again_in_its_next_group() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
--- a/tests/direct/limits.rs
+++ b/tests/direct/limits.rs
@@ -1,4 +1,4 @@
-//! How much goes to one head.
+//! Concurrency limits: how many runs a router has at one head.
 
 use runrail::logic::direct::{DirectEffect, DirectEvent, Problem, RunPart};
 use runrail::types::InstanceId;
@@ -19,47 +19,47 @@
     router.take();
     router.tell(DirectEvent::Request(Box::new(request(100, "/stream/x"))));
     let held = router.take();
-    assert!(held.is_empty(), "it may wait a moment: {held:?}");
+    assert!(held.is_empty(), "it waits first: {held:?}");
     router.pass(1_300);
     let effects = router.take();
-    let told = |e: &DirectEffect| {
+    let refused = |e: &DirectEffect| {
         let problem = problem(std::slice::from_ref(e));
-        let it = matches!(e, DirectEffect::Refuse { request: 100, .. });
-        it && matches!(problem, Some(Problem::NotRun(_)))
+        let matches_id = matches!(e, DirectEffect::Refuse { request: 100, .. });
+        matches_id && matches!(problem, Some(Problem::NotRun(_)))
     };
-    assert!(effects.iter().any(told), "{effects:?}");
+    assert!(effects.iter().any(refused), "{effects:?}");
     assert!(!effects.iter().any(|e| matches!(e, DirectEffect::Run(_))));
 }
 
-/// A request of a caller that waits for less than its route allows.
-fn hurried(id: u64) -> DirectEvent {
+/// A request whose caller waits for less time than its route allows.
+fn short_deadline(id: u64) -> DirectEvent {
     let mut request = request(id, "/stream/x");
     request.wait_ms = Some(3_000);
     DirectEvent::Request(Box::new(request))
 }
 
-/// Callers set times of their own: a short one tells neither that the request was
-/// refused before nor that it is worth less.
+/// Callers set deadlines of their own: a short one doesn't prove that the request was refused
+/// before, nor that it is worth less.
 #[test]
-fn a_caller_in_a_hurry_gets_the_room_and_the_rank_of_any_other() {
+fn a_short_deadline_changes_neither_the_limit_nor_the_priority() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     for id in 0..47 {
         router.ask(id, "/stream/x");
     }
-    router.tell(hurried(100));
-    assert_eq!(run(&router.take()).priority, 2, "the rank of any other");
-    router.tell(hurried(101));
+    router.tell(short_deadline(100));
+    assert_eq!(run(&router.take()).priority, 2, "the priority of any other");
+    router.tell(short_deadline(101));
     assert!(router.take().is_empty(), "48 of 48");
 }
 
 #[test]
-fn those_that_wait_go_out_as_they_came_whatever_time_they_have() {
+fn waiting_requests_are_sent_in_order_of_arrival_whatever_their_deadlines() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     let mut runs: Vec<u64> = Vec::new();
     for id in 0..48 {
         runs.push(run(&router.ask(id, "/stream/x")).run);
     }
-    router.tell(hurried(100));
+    router.tell(short_deadline(100));
     assert!(router.ask(101, "/stream/x").is_empty());
     let sent: Vec<u64> = runs
         .into_iter()
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_that_waits_goes_out_when_room_is_made() {
+fn a_waiting_request_is_sent_when_a_run_ends() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     let first = run(&router.ask(0, "/stream/x"));
     for id in 1..48 {
@@ -97,12 +97,12 @@
     }
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
     sent += router.take().iter().filter(|e| runs(e)).count();
-    // 60 in 100 of a pause of 300 ms at 50 tokens a ms are 9,000, twice for one router.
+    // 60 % of a pause of 300 ms at 50 tokens per ms are 9,000 tokens, twice that for one router.
     assert_eq!(sent, 3);
 }
 
-/// One of so many routers; another one plans.
-fn among(routers: usize) -> Router {
+/// One of so many routers; another one is the planner.
+fn one_of(routers: usize) -> Router {
     let names: Vec<_> = (0..routers)
         .map(|n| InstanceId::new(&format!("r{n}")))
         .collect();
@@ -113,10 +113,9 @@
     router.state().endpoints[&InstanceId::new("e1")].limit
 }
 
-/// Requests that a router sends before one has to wait, all of which begin after so many
-/// milliseconds.
-fn rounds(router: &mut Router, times: u64, took: u64) {
-    for n in 0..times {
+/// Sends `count` requests one after another, each of which begins after `took` milliseconds.
+fn send_requests(router: &mut Router, count: u64, took: u64) {
+    for n in 0..count {
         let sent = run(&router.ask(1_000 + n, "/stream/x")).run;
         router.pass(took);
         router.part(sent, RunPart::Head);
@@ -124,8 +123,8 @@
     }
 }
 
-/// 48 slots: what all routers together may send at first, and however late requests begin,
-/// keeps a head from queueing.
+/// A head has 48 slots. The routers' first limits together, and their lowest limits when
+/// requests begin late, keep it from queueing.
 #[test]
 fn all_routers_together_send_about_what_a_head_has_slots_for() {
     for (routers, first, least) in [
@@ -133,28 +132,28 @@
         (14, 3_428, 2_742),
         (52, 2_000, 2_000),
     ] {
-        let mut router = among(routers);
+        let mut router = one_of(routers);
         let sent = (0..48).take_while(|id| !router.ask(*id, "/stream/x").is_empty());
         assert_eq!(
             sent.count() as u64,
             first.div_ceil(1_000),
             "{routers} routers"
         );
-        let mut router = among(routers);
-        rounds(&mut router, 20, 450);
+        let mut router = one_of(routers);
+        send_requests(&mut router, 20, 450);
         assert_eq!(limit(&mut router), least, "{routers} routers");
     }
 }
 
-/// The objective is 400 ms. Where the first token alone takes 240 ms without any queue,
-/// 300 ms are well in time, 350 ms are not.
+/// The objective is 400 ms. If the first token takes 240 ms without any queue, 300 ms are well
+/// in time and 350 ms are not.
 #[test]
 fn a_limit_rises_while_requests_begin_in_half_of_the_time_that_a_queue_may_take() {
     for (took, rises) in [(300, true), (350, false)] {
-        let mut router = among(14);
-        rounds(&mut router, 1, 240);
+        let mut router = one_of(14);
+        send_requests(&mut router, 1, 240);
         let before = limit(&mut router);
-        rounds(&mut router, 4, took);
+        send_requests(&mut router, 4, took);
         assert_eq!(limit(&mut router) > before, rises, "{took} ms");
     }
 }
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -7,7 +7,7 @@
 
 use crate::fixture::{at, open_group, problem, request, routing, run, Router, FENCE};
 
-/// Requests that were sent to an endpoint.
+/// Ids of the requests that were sent to an endpoint.
 fn sent(effects: &[DirectEffect]) -> Vec<u64> {
     let run = |e: &DirectEffect| match e {
         DirectEffect::Run(run) => Some(run.request),
@@ -16,7 +16,7 @@
     effects.iter().filter_map(run).collect()
 }
 
-/// Requests that were refused.
+/// Ids of the requests that were refused.
 fn refused(effects: &[DirectEffect]) -> Vec<u64> {
     let refuse = |e: &DirectEffect| match e {
         DirectEffect::Refuse { request, .. } => Some(*request),
@@ -25,15 +25,15 @@
     effects.iter().filter_map(refuse).collect()
 }
 
-/// A router whose only head has no room left, and the runs there.
-fn full() -> (Router, Vec<u64>) {
+/// A router whose only head has no room left, and the runs at that head.
+fn full_head() -> (Router, Vec<u64>) {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     let runs = (0..48).map(|id| run(&router.ask(id, "/stream/x")).run);
     let runs = runs.collect();
     (router, runs)
 }
 
-fn learn(router: &mut Router) {
+fn make_ready(router: &mut Router) {
     router.tell(DirectEvent::Routing(Arc::new(routing(1))));
     router.tell(DirectEvent::List {
         at: at(FENCE),
@@ -47,7 +47,7 @@
     router.ask(1, "/stream/x");
     router.pass(300);
     assert_eq!(problem(&router.take()), None, "it waits");
-    learn(&mut router);
+    make_ready(&mut router);
     let sent = run(&router.take());
     assert_eq!(sent.request, 1);
     assert!(sent.wait_ms <= 4_700, "its time runs: {}", sent.wait_ms);
@@ -58,7 +58,7 @@
     let mut router = Router::bare();
     router.ask(1, "/stream/x");
     router.tell(DirectEvent::Gone(1));
-    learn(&mut router);
+    make_ready(&mut router);
     assert!(sent(&router.take()).is_empty());
 }
 
@@ -68,14 +68,15 @@
     for id in 0..256 {
         assert_eq!(problem(&router.ask(id, "/stream/x")), None);
     }
-    let told = problem(&router.ask(256, "/stream/x"));
-    assert!(matches!(told, Some(Problem::NotYet(_))), "{told:?}");
+    let answer = problem(&router.ask(256, "/stream/x"));
+    assert!(matches!(answer, Some(Problem::NotYet(_))), "{answer:?}");
 }
 
-/// Its answer can still begin in time, that of the other one can't.
+/// The answer of the newer request can still begin within the objective, that of the older
+/// one can't.
 #[test]
-fn who_is_in_time_goes_before_who_is_late() {
-    let (mut router, runs) = full();
+fn requests_in_time_go_before_late_ones() {
+    let (mut router, runs) = full_head();
     assert!(router.ask(100, "/stream/x").is_empty());
     router.pass(200);
     assert!(router.ask(101, "/stream/x").is_empty());
@@ -87,8 +88,8 @@
 }
 
 #[test]
-fn who_is_late_leaves_room_for_what_is_to_come() {
-    let (mut router, runs) = full();
+fn late_requests_leave_room_for_requests_in_time() {
+    let (mut router, runs) = full_head();
     assert!(router.ask(100, "/stream/x").is_empty());
     router.pass(200);
     let mut left = 48;
@@ -98,13 +99,14 @@
             break;
         }
     }
-    assert_eq!(left, 28, "below 60 in 100 of 48");
+    assert_eq!(left, 28, "below 60 % of 48");
 }
 
-/// Callers are refused as soon as waiting is seen to be in vain, but for one in eight.
+/// After waits have ended in refusals, requests are refused after a short wait, except one in
+/// eight.
 #[test]
-fn a_line_that_leads_nowhere_is_left_soon() {
-    let (mut router, _) = full();
+fn waits_are_short_after_waits_that_ended_in_refusals() {
+    let (mut router, _) = full_head();
     for id in 100..104 {
         assert!(router.ask(id, "/stream/x").is_empty(), "{id} waits");
     }
@@ -120,7 +122,7 @@
 
 #[test]
 fn more_than_can_be_sent_in_time_do_not_wait() {
-    let (mut router, _) = full();
+    let (mut router, _) = full_head();
     // 48 were sent within 4 s: 15 in the 1,250 ms for which each waits.
     let waits = (100..200).take_while(|id| router.ask(*id, "/stream/x").is_empty());
     assert_eq!(waits.count(), 15);
@@ -153,7 +155,7 @@
 
 #[test]
 fn a_request_that_waits_keeps_to_its_time() {
-    let (mut router, _) = full();
+    let (mut router, _) = full_head();
     let mut hurried = request(100, "/stream/x");
     hurried.wait_ms = Some(400);
     router.tell(DirectEvent::Request(Box::new(hurried)));
@@ -163,17 +165,17 @@
 }
 
 #[test]
-fn a_line_is_open_while_four_late_ones_got_an_endpoint_for_each_in_vain() {
-    let mut line = Line::default();
-    assert!(line.is_effective(0), "nothing is known yet");
-    line.on_refused(100);
-    assert!(!line.is_effective(100));
+fn waiting_is_effective_while_four_late_requests_are_sent_for_each_refused_one() {
+    let mut queue = Line::default();
+    assert!(queue.is_effective(0), "nothing is known yet");
+    queue.on_refused(100);
+    assert!(!queue.is_effective(100));
     for late in [false, true, true] {
-        line.on_sent(200, late);
+        queue.on_sent(200, late);
     }
-    assert!(line.is_effective(200), "two, and two that are added");
-    line.on_refused(200);
-    assert!(!line.is_effective(300));
-    assert!(line.is_effective(6_000), "it is forgotten");
-    assert!(!line.has_sent(6_000));
+    assert!(queue.is_effective(200), "two, and the initial two");
+    queue.on_refused(200);
+    assert!(!queue.is_effective(300));
+    assert!(queue.is_effective(6_000), "the window has passed");
+    assert!(!queue.has_sent(6_000));
 }
--- a/tests/direct/retries.rs
+++ b/tests/direct/retries.rs
@@ -1,21 +1,21 @@
-//! Retries of all routers together keep to one budget over any window.
+//! Retries of all routers together keep to one budget in any window.
 
 use runrail::logic::direct::{DirectEffect, RunPart};
 use runrail::types::InstanceId;
 
 use crate::fixture::{addr, plain, run, Router};
 
-/// Window of the budget with usual settings, in milliseconds.
-const WINDOW: u64 = 10_000;
+/// Window of the budget with the default settings.
+const WINDOW_MS: u64 = 10_000;
 
-/// Retries a request and retries beside, with usual settings.
+/// Retries per request and fixed number of further retries, with the default settings.
 const RATIO: f64 = 0.2;
-const EXTRA: u64 = 160;
+const EXTRA_RETRIES: u64 = 160;
 
-/// Parts that the fixed number is divided into where there are few routers.
-const PARTS: u64 = 16;
+/// Fewest routers that the fixed number is divided by.
+const MIN_ROUTERS: u64 = 16;
 
-/// Requests that were sent and sent again.
+/// Requests and how many of them were retried.
 #[derive(Default)]
 struct Count {
     requests: u64,
@@ -23,15 +23,15 @@
 }
 
 impl Count {
-    /// Retries that a router may send for the requests, with a part of the fixed number.
+    /// Retries allowed for the requests, with a router's part of the fixed number.
     fn allowed(&self, part: u64) -> u64 {
         (self.requests as f64 * RATIO) as u64 + part
     }
 }
 
-/// A process that has just started and knows some other routers and plenty of endpoints.
-fn life(now: u64, others: u16) -> Router {
-    let mut router = unread(now);
+/// A router that has just started and knows some other routers and many endpoints.
+fn router_with_peers(now: u64, others: u16) -> Router {
+    let mut router = router_without_peers(now);
     router.pass(20);
     for n in 0..others {
         let id = InstanceId::new(&format!("other{n}"));
@@ -40,15 +40,15 @@
     router
 }
 
-/// A process that starts now and hasn't read who the other routers are.
-fn unread(now: u64) -> Router {
+/// A router that starts now and hasn't read the addresses of the other routers.
+fn router_without_peers(now: u64) -> Router {
     let mut router = Router::started(now, (0..300).map(plain).collect());
     router.state().retries_from = None;
     router
 }
 
-/// Requests whose first endpoint has no room; what is sent again is served.
-fn shed(router: &mut Router, requests: u64, count: &mut Count) {
+/// Sends requests whose first endpoint has no room; a retry is served.
+fn send_shed_requests(router: &mut Router, requests: u64, count: &mut Count) {
     let sheds = RunPart::Whole {
         status: 503,
         not_run: true,
@@ -68,95 +68,98 @@
     }
 }
 
-/// Each start gave a router its part of the fixed number anew, so that routers which were
-/// killed again and again sent several times the budget.
+/// Guards against routers that are killed repeatedly and send several times the budget because
+/// each start gives them their part of the fixed number again.
 #[test]
 fn a_router_that_is_killed_again_and_again_spends_its_part_once_in_a_window() {
     let mut count = Count::default();
-    let mut router = life(1_000, 10);
-    router.pass(2 * WINDOW);
+    let mut router = router_with_peers(1_000, 10);
+    router.pass(2 * WINDOW_MS);
     let begin = router.now;
-    shed(&mut router, 60, &mut count);
+    send_shed_requests(&mut router, 60, &mut count);
     for start in [2_000, 4_500, 7_000] {
-        let mut next = life(begin + start, 10);
+        let mut next = router_with_peers(begin + start, 10);
         next.pass(500);
-        shed(&mut next, 60, &mut count);
+        send_shed_requests(&mut next, 60, &mut count);
     }
-    let allowed = count.allowed(EXTRA / PARTS);
+    let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
 
-/// What a tenth of the window holds was forgotten up to a tenth too early.
+/// Guards against retries that are forgotten up to a tenth of the window too early, as they
+/// are counted in tenths.
 #[test]
 fn retries_less_than_a_window_apart_share_a_budget() {
-    let mut router = life(1_000, 10);
-    router.pass(2 * WINDOW - 1_030);
-    assert_eq!(router.now, 2 * WINDOW - 10, "just before a tenth ends");
+    let mut router = router_with_peers(1_000, 10);
+    router.pass(2 * WINDOW_MS - 1_030);
+    assert_eq!(router.now, 2 * WINDOW_MS - 10, "just before a tenth ends");
     let mut count = Count::default();
-    shed(&mut router, 60, &mut count);
-    router.pass(WINDOW - 980);
-    shed(&mut router, 60, &mut count);
-    let allowed = count.allowed(EXTRA / PARTS);
+    send_shed_requests(&mut router, 60, &mut count);
+    router.pass(WINDOW_MS - 980);
+    send_shed_requests(&mut router, 60, &mut count);
+    let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
 
-/// A router that lost sight of others took a larger part while theirs was spent.
+/// Guards against a router that takes a larger part of the fixed number when it no longer
+/// sees the others, which have already spent theirs.
 #[test]
 fn a_router_that_loses_sight_of_others_keeps_its_part_for_a_window() {
-    let mut router = life(1_000, 51);
-    router.pass(2 * WINDOW);
+    let mut router = router_with_peers(1_000, 51);
+    router.pass(2 * WINDOW_MS);
     let mut count = Count::default();
-    shed(&mut router, 60, &mut count);
+    send_shed_requests(&mut router, 60, &mut count);
     router.pass(1_000);
     router.state().peers.clear();
-    shed(&mut router, 60, &mut count);
-    let allowed = count.allowed(EXTRA / 52);
+    send_shed_requests(&mut router, 60, &mut count);
+    let allowed = count.allowed(EXTRA_RETRIES / 52);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
 
-/// The bound holds without taking the fixed number away from routers that live on.
+/// Guards against a budget that withholds the fixed number from routers that keep running.
 #[test]
-fn a_router_that_has_lived_for_a_window_has_its_part() {
-    let mut router = life(1_000, 10);
-    router.pass(2 * WINDOW);
+fn a_router_that_has_run_for_a_window_has_its_part() {
+    let mut router = router_with_peers(1_000, 10);
+    router.pass(2 * WINDOW_MS);
     let mut count = Count::default();
-    shed(&mut router, 60, &mut count);
-    assert_eq!(count.retries, count.allowed(EXTRA / PARTS));
-    router.pass(2 * WINDOW);
+    send_shed_requests(&mut router, 60, &mut count);
+    assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
+    router.pass(2 * WINDOW_MS);
     let mut later = Count::default();
-    shed(&mut router, 60, &mut later);
-    assert_eq!(later.retries, later.allowed(EXTRA / PARTS));
+    send_shed_requests(&mut router, 60, &mut later);
+    assert_eq!(later.retries, later.allowed(EXTRA_RETRIES / MIN_ROUTERS));
 }
 
-/// Routers that can't read the store know nobody and would take a part each of too few.
+/// Guards against routers that can't read the store, know no others and so divide the fixed
+/// number by too few.
 #[test]
 fn a_router_that_knows_no_others_yet_keeps_to_the_ratio() {
-    let mut router = unread(1_000);
+    let mut router = router_without_peers(1_000);
     router.state().presence.next_at = u64::MAX;
     router.state().plan.duty.next_at = u64::MAX;
-    router.pass(2 * WINDOW);
+    router.pass(2 * WINDOW_MS);
     let mut count = Count::default();
-    shed(&mut router, 60, &mut count);
+    send_shed_requests(&mut router, 60, &mut count);
     assert!(count.retries <= count.allowed(0), "{}", count.retries);
 }
 
-/// Nothing was spent before the system first started, so callers need not wait.
+/// Before the first start of the system no retries were spent, so callers need not wait.
 #[test]
 fn at_the_first_start_of_the_system_a_router_has_its_part_within_two_seconds() {
-    let mut router = unread(1_000);
+    let mut router = router_without_peers(1_000);
     router.state().plan.first = true;
     router.pass(2_000);
     let mut count = Count::default();
-    shed(&mut router, 60, &mut count);
-    assert_eq!(count.retries, count.allowed(EXTRA / PARTS));
+    send_shed_requests(&mut router, 60, &mut count);
+    assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
 }
 
-/// A life that follows one which spent the share of many earlier requests at its end would
-/// take the share of its own requests in the same window.
+/// Guards against a restarted router that retries a share of its own requests in the same
+/// window in which the process before it spent the share of many earlier requests.
 #[test]
-fn what_an_earlier_life_spent_at_its_end_is_not_spent_again() {
-    let mut router = life(1_000, 10);
-    router.pass(2 * WINDOW);
+fn retries_of_an_earlier_process_are_not_spent_again() {
+    let mut router = router_with_peers(1_000, 10);
+    router.pass(2 * WINDOW_MS);
     let served = RunPart::Whole {
         status: 200,
         not_run: false,
@@ -165,15 +168,15 @@
         let sent = run(&router.ask(n, "/safe/x"));
         router.part(sent.run, served.clone());
     }
-    router.pass(WINDOW - 2_000);
+    router.pass(WINDOW_MS - 2_000);
     let mut count = Count::default();
-    shed(&mut router, 100, &mut count);
-    let mut next = life(router.now + 500, 10);
+    send_shed_requests(&mut router, 100, &mut count);
+    let mut next = router_with_peers(router.now + 500, 10);
     next.pass(500);
-    shed(&mut next, 100, &mut count);
+    send_shed_requests(&mut next, 100, &mut count);
     let earlier = 300.0 * RATIO;
     let allowed = count
-        .allowed(EXTRA / PARTS)
-        .max(earlier as u64 + 20 + EXTRA / PARTS);
+        .allowed(EXTRA_RETRIES / MIN_ROUTERS)
+        .max(earlier as u64 + 20 + EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
--- a/tests/direct/routes.rs
+++ b/tests/direct/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, accounts and versions.
+//! Routes, client accounts and versions of the routing.
 
 use std::sync::Arc;
 
@@ -7,23 +7,24 @@
 
 use crate::fixture::{open_group, plain, problem, request, routing, run, Router};
 
-/// The first two events that make a router ready, each alone.
+/// Guards against `NoRoute` from a router that has neither the routing nor the endpoint list,
+/// or only the routing.
 #[test]
-fn a_router_that_knows_nothing_says_come_back_never_no_such_route() {
+fn a_router_that_is_not_ready_answers_not_yet_and_never_no_route() {
     let mut router = Router::bare();
     assert_eq!(problem(&router.ask(1, "/stream/x")), None, "it waits");
     router.tell(DirectEvent::Routing(Arc::new(routing(1))));
     assert_eq!(problem(&router.ask(2, "/none/x")), None, "it waits");
     router.pass(1_300);
     let refused = router.take();
-    let told: Vec<_> = refused
+    let problems: Vec<_> = refused
         .iter()
         .filter_map(|e| problem(std::slice::from_ref(e)))
         .collect();
-    assert_eq!(told.len(), 2);
+    assert_eq!(problems.len(), 2);
     assert!(
-        told.iter().all(|p| matches!(p, Problem::NotYet(_))),
-        "{told:?}"
+        problems.iter().all(|p| matches!(p, Problem::NotYet(_))),
+        "{problems:?}"
     );
 }
 
@@ -65,8 +66,8 @@
     assert_eq!(to_b.count(), 10);
 }
 
-/// Found on a day that ends with all processes killed: callers without a time to come back
-/// met the next router that had just started.
+/// Guards against refusals without a time to come back: after a restart of all routers such
+/// callers return at once, to another router that has just started.
 #[test]
 fn callers_of_a_router_that_has_just_started_hear_when_to_come_back() {
     let mut router = Router::bare();
--- a/tests/direct/stopping.rs
+++ b/tests/direct/stopping.rs
@@ -1,4 +1,4 @@
-//! An orderly stop. Found by hunts: dop-brno mix 929573407156, LOST.
+//! Orderly shutdown of a router: no request that was accepted loses its answer.
 
 use runrail::logic::direct::{DirectEffect, Problem, RunPart};
 use runrail::logic::{Effect, Event};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn callers_are_taken_until_the_doors_close_then_told_to_come_back() {
+fn callers_are_accepted_until_the_listener_closes_and_then_refused() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     router.take();
     router.feed(Event::Stop);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_stop_ends_before_the_grace_does() {
+fn a_shutdown_ends_before_the_grace_time() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     router.feed(Event::Stop);
     let sent = run(&router.ask(1, "/stream/x"));
@@ -54,9 +54,10 @@
     assert!(router.state().ending == runrail::logic::direct::EndStage::Over);
 }
 
-/// Such a caller was read and would find its connection closed.
+/// Guards against a request that is held until the routing is known and gets no answer at
+/// shutdown: its connection would just close.
 #[test]
-fn a_stop_answers_those_that_wait_for_a_router_which_knows_nothing_yet() {
+fn a_shutdown_answers_requests_held_until_the_routing_is_known() {
     let mut router = Router::bare();
     router.feed(Event::Stop);
     router.pass(2_900);
@@ -65,6 +66,6 @@
     assert_eq!(ended(&router), 0, "it waits");
     router.pass(1_000);
     assert_eq!(ended(&router), 1);
-    let told = problem(&router.take());
-    assert!(matches!(told, Some(Problem::NotYet(_))), "{told:?}");
+    let answer = problem(&router.take());
+    assert!(matches!(answer, Some(Problem::NotYet(_))), "{answer:?}");
 }
