--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -80,8 +80,8 @@
     if let Some((problem, why)) = crashes::refusal(state, &fingerprint) {
         return end::refuse(request.id, &request.label, problem, why, out);
     }
-    let draw = state.random(u64::MAX);
-    let Some(service) = route.service(draw).cloned() else {
+    let random = state.random(u64::MAX);
+    let Some(service) = route.service(random).cloned() else {
         return end::refuse(
             request.id,
             &request.label,
--- a/src/logic/direct/choose.rs
+++ b/src/logic/direct/choose.rs
@@ -53,14 +53,14 @@
     let mut found: Option<(u64, u64, InstanceId)> = None;
     let routers = state.peers.len() as u64 + 1;
     let random = state.random(u64::MAX);
-    let knobs = &state.knobs;
+    let params = &state.knobs;
     for (id, view) in &state.endpoints {
         if !allowed(&(id.clone(), view.epoch())) || !can_take(view, now, flight, engine.is_some()) {
             continue;
         }
         let has_room = |e: &EngineSpec| {
-            (!knobs.on(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
-                && (!knobs.on(Mechanism::ReadingBound)
+            (!params.on(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
+                && (!params.on(Mechanism::ReadingBound)
                     || limit::can_read(view, routers, flight, e, now))
         };
         if !engine.is_none_or(has_room) {
--- a/src/logic/direct/rates.rs
+++ b/src/logic/direct/rates.rs
@@ -45,7 +45,7 @@
         flight.run.as_ref().map(|r| r.since)
     });
     match rate {
-        Some(rate) => limit_named(state, now, id, rate, out),
+        Some(rate) => on_limit_named(state, now, id, rate, out),
         None => {
             let known = state.endpoints.get(id).and_then(|v| v.rate.as_ref());
             if known
@@ -60,7 +60,7 @@
 }
 
 /// Stores a limit that an endpoint has named to this router, and broadcasts it.
-fn limit_named(
+fn on_limit_named(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
--- a/src/logic/direct/retry_terms.rs
+++ b/src/logic/direct/retry_terms.rs
@@ -16,11 +16,11 @@
 
 impl RetryTerms {
     /// Budget by the router's parameters, shared by `routers`.
-    pub fn new(knobs: &DirectKnobs, routers: u64) -> Self {
+    pub fn new(params: &DirectKnobs, routers: u64) -> Self {
         Self {
-            window: knobs.retry_window,
-            ratio: knobs.retry_ratio,
-            extra: knobs.retry_extra,
+            window: params.retry_window,
+            ratio: params.retry_ratio,
+            extra: params.retry_extra,
             routers,
         }
     }
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -101,26 +101,26 @@
 /// Retries a request after a failed run if its route and the retry budget allow it, and
 /// gives it up otherwise.
 ///
-/// `ran` is false if the endpoint can't have run it.
+/// `may_have_run` is false if the endpoint can't have run it.
 pub(super) fn retry(
     state: &mut DirectState,
     now: Millis,
     id: u64,
-    ran: bool,
+    may_have_run: bool,
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
     let Some(flight) = state.flights.get_mut(&id) else {
         return;
     };
-    if !ran {
+    if !may_have_run {
         flight.runs = flight.runs.saturating_sub(1);
     }
     let repeatable = flight.route.repeatable();
-    let allowed = flight.runs < flight.route.attempts && (!ran || repeatable);
+    let allowed = flight.runs < flight.route.attempts && (!may_have_run || repeatable);
     let below_max_sends = flight.tried.len() as u32 <= flight.route.attempts + 1;
     let (service, fingerprint) = (flight.service.clone(), flight.fingerprint);
-    if ran && crashes::is_risky(state, &fingerprint) {
+    if may_have_run && crashes::is_risky(state, &fingerprint) {
         return end::give_up(state, now, id, "endpoints crashed while running it", out);
     }
     if !allowed || !below_max_sends || !spend_retry(state, now, &service) {
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -156,9 +156,9 @@
 #[test]
 fn a_request_that_waits_keeps_to_its_time() {
     let (mut router, _) = full_head();
-    let mut hurried = request(100, "/stream/x");
-    hurried.wait_ms = Some(400);
-    router.tell(DirectEvent::Request(Box::new(hurried)));
+    let mut short_deadline = request(100, "/stream/x");
+    short_deadline.wait_ms = Some(400);
+    router.tell(DirectEvent::Request(Box::new(short_deadline)));
     assert!(router.take().is_empty());
     router.pass(120);
     assert_eq!(refused(&router.take()), [100], "a quarter of 400 ms");
--- a/tests/direct/stopping.rs
+++ b/tests/direct/stopping.rs
@@ -17,23 +17,23 @@
     router.feed(Event::Stop);
     assert!(router.take().contains(&DirectEffect::Ready(false)));
     router.pass(2_000);
-    let early = run(&router.ask(1, "/stream/x"));
-    router.part(early.run, RunPart::Head);
-    let mut seen = Vec::new();
+    let accepted = run(&router.ask(1, "/stream/x"));
+    router.part(accepted.run, RunPart::Head);
+    let mut effects = Vec::new();
     for n in 1..12 {
         router.pass(100);
-        seen.extend(router.part(early.run, piece(n)));
+        effects.extend(router.part(accepted.run, piece(n)));
     }
-    assert!(seen.contains(&DirectEffect::CloseDoors));
-    let late = router.ask(2, "/stream/x");
+    assert!(effects.contains(&DirectEffect::CloseDoors));
+    let refused = router.ask(2, "/stream/x");
     assert!(
-        matches!(problem(&late), Some(Problem::NotRun(_))),
-        "{late:?}"
+        matches!(problem(&refused), Some(Problem::NotRun(_))),
+        "{refused:?}"
     );
     router.pass(200);
     assert_eq!(ended(&router), 0, "a stream is still being served");
     router.tell(runrail::logic::direct::DirectEvent::Part {
-        run: early.run,
+        run: accepted.run,
         part: RunPart::End,
     });
     router.pass(40);
