--- a/src/logic/direct/rate_share.rs
+++ b/src/logic/direct/rate_share.rs
@@ -11,7 +11,7 @@
     pub confirmed_at: Millis,
     /// Time at which this router last broadcast it; 0 before that.
     pub broadcast_at: Millis,
-    /// Time between two requests of this router; none if it holds no share.
+    /// Milliseconds between two requests of this router; none if it holds no share.
     pub gap: Option<Millis>,
     /// Time from which this router may send the next request.
     pub next_at: Millis,
