--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -155,7 +155,7 @@
     let ended = in_flight.filter(|(_, f)| f.fingerprint == request && !has_event(f));
     for id in ended.map(|(id, _)| *id).collect::<Vec<_>>() {
         state.crashes.refused += 1;
-        end::forbid(state, id, out);
+        end::refuse_blocked(state, id, out);
     }
 }
 
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -360,7 +360,7 @@
         view.shunned = view.shunned.max(now + FULL_BACKOFF_MS);
     }
     if let Some(at) = run_endpoint_id(state, request) {
-        limit::full(state, now, &at);
+        limit::on_full(state, now, &at);
     }
 }
 
--- a/src/logic/direct/retry_terms.rs
+++ b/src/logic/direct/retry_terms.rs
@@ -1,26 +1,26 @@
 use super::DirectKnobs;
 use crate::types::Millis;
 
-/// What bounds a router's retries at one moment.
+/// Retry budget: the bounds of a router's retries at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RetryTerms {
-    /// Span over which retries are counted, in milliseconds.
+    /// Window in which retries are counted, in milliseconds.
     pub window: Millis,
-    /// Retries for a thousand requests.
+    /// Retries per thousand requests.
     pub ratio: u64,
-    /// Retries that all routers may send beside, in thousandths.
+    /// Further retries of all routers together, in thousandths of a retry.
     pub extra: u64,
-    /// Routers that share those.
+    /// Routers that share the further retries.
     pub routers: u64,
 }
 
 impl RetryTerms {
-    /// Terms by the settings, for so many routers.
-    pub fn new(knobs: &DirectKnobs, routers: u64) -> Self {
+    /// Budget by the router's parameters, shared by `routers`.
+    pub fn new(params: &DirectKnobs, routers: u64) -> Self {
         Self {
-            window: knobs.retry_window,
-            ratio: knobs.retry_ratio,
-            extra: knobs.retry_extra,
+            window: params.retry_window,
+            ratio: params.retry_ratio,
+            extra: params.retry_extra,
             routers,
         }
     }
