--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -70,7 +70,7 @@
             started_again(state, now, &id, &entry, out);
         }
     }
-    let entry = plan::corrected(state, &id, entry);
+    let entry = plan::apply_known_seat(state, &id, entry);
     let Some(view) = state.endpoints.get_mut(&id) else {
         // What the first reading shows is one event, not one for each endpoint.
         if state.listed_once {
@@ -156,7 +156,7 @@
         },
     );
     digests::note(state, EntryNews::Listed(id.clone(), entry.clone()));
-    plan::started_again(state, now, id, before.entry.seat.as_ref(), out);
+    plan::on_endpoint_restarted(state, now, id, before.entry.seat.as_ref(), out);
 }
 
 /// An endpoint's own report names another life than the list: the list's word is over.
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -216,10 +216,10 @@
         }
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
-        PeerMessage::Silent { id } => plan::suspect(state, now, &id, out),
+        PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rates::told(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::told(state, now, &reports, out),
-        PeerMessage::Seen { number, sight } => plan::seen(state, number, sight),
+        PeerMessage::Seen { number, sight } => plan::on_observation(state, number, sight),
     }
 }
 
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -5,84 +5,86 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Millis, StorePosition};
 
-/// Key that the planner's lease holds.
+/// Key that the planner holds under its lease.
 const KEY: &str = "runrail/planner/fleet";
 
-/// Key that tells in which era of the store the duty was last taken.
+/// Key with the store's era in which the planner lease was last acquired.
 const ERA_KEY: &str = "runrail/planner/era";
 
-/// Time until endpoints have written again what a store that came back has lost.
-const REWRITTEN_MS: Millis = 2_000;
+/// Time within which endpoints write again what a store that was restored from a backup
+/// has lost.
+const REWRITE_MS: Millis = 2_000;
 
-/// Renewals within one length of the lease.
-const RENEWALS: u64 = 3;
+/// Renewals within one lease length.
+const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Pause after a call that failed.
-const PAUSE_MS: Millis = 200;
+/// Pause after a failed store call.
+const RETRY_PAUSE_MS: Millis = 200;
 
-/// Most of a random pause before the free duty is taken: so much, and for each router a
-/// call's time more, so that a few try at once however many there are.
-const JITTER_MS: u64 = 60;
-const JITTER_BY_ROUTER_MS: u64 = 4;
+/// Longest random pause before a free planner lease is acquired, plus about the time of
+/// one store call per router, so that only a few routers try at once however many exist.
+const MAX_JITTER_MS: u64 = 60;
+const MAX_JITTER_PER_ROUTER_MS: u64 = 4;
 
-fn jitter(state: &mut DirectState) -> Millis {
-    let most = JITTER_MS + JITTER_BY_ROUTER_MS * state.peers.len() as u64;
+fn jitter_ms(state: &mut DirectState) -> Millis {
+    let most = MAX_JITTER_MS + MAX_JITTER_PER_ROUTER_MS * state.peers.len() as u64;
     state.random(most)
 }
 
-/// State of the planner's lease, as far as this router knows.
+/// State of the planner lease as this router knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Duty {
     /// Whether the key was read and is watched.
     pub watched: bool,
-    /// Who holds it.
+    /// Instance id in the key, if the key exists.
     pub holder: Option<String>,
     /// Revision of the key; 0 where there is none.
     pub revision: i64,
-    /// Own lease.
+    /// Id of the own lease.
     pub lease: Option<i64>,
-    /// How long the own lease holds without a renewal.
+    /// Length of the own lease in milliseconds, counted from its last renewal.
     pub length: Millis,
-    /// When the call that granted it was sent.
+    /// When the call that created the own lease was sent.
     pub granted: Millis,
-    /// Fence of the own duty; 0 without it.
+    /// Fence of this router's orders as planner; 0 while it isn't the planner.
     pub fence: u64,
-    /// Position of the store at which it was taken.
+    /// Position of the store at which the key was written.
     pub taken: StorePosition,
-    /// From when on it may be taken: later than an earlier holder may believe in a lease
-    /// that the store has lost.
+    /// Earliest time at which a lease may be requested. After the store was restored from a
+    /// backup an earlier planner may still count on a lease that the store has lost; it
+    /// has run out by then.
     pub free_from: Millis,
-    /// Until when the own lease holds for certain.
+    /// Until when the own lease is certain to be valid.
     pub until: Millis,
-    /// When something is done about it next.
+    /// When the next store call may be made.
     pub next_at: Millis,
-    /// The call that is under way.
+    /// The store call that awaits its reply.
     pub call: Option<(CallId, DutyCall)>,
 }
 
-/// What a call about the duty was for; times are those of its sending.
+/// Purpose of a store call about the planner lease; each time is when the call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DutyCall {
-    /// Read the key.
+    /// Read the key, with all others of the product.
     Read,
-    /// Get a lease.
+    /// Create a lease.
     Grant(Millis),
     /// Write the key under the lease.
     Take(i64, Millis),
     /// Renew the lease.
     Renew(Millis),
-    /// Give the lease back.
+    /// Revoke the lease.
     Revoke,
 }
 
 impl Duty {
-    /// Whether the duty is held for certain at `now`.
+    /// Whether this router is certain to hold the planner lease at `now`.
     pub fn holds(&self, now: Millis) -> bool {
         self.fence > 0 && now < self.until
     }
 
-    /// Gives the duty up as lost; it is read anew.
-    pub fn drop_it(&mut self) {
+    /// Resets the state after the lease was lost or revoked; the key is read again.
+    pub fn reset(&mut self) {
         *self = Duty {
             next_at: self.next_at,
             free_from: self.free_from,
@@ -92,65 +94,67 @@
     }
 }
 
-/// Looks after the lease.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Makes the next store call about the planner lease, if one is due.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let duty = &state.plan.duty;
     if duty.call.is_some() || now < duty.next_at {
         return;
     }
     let own = duty.lease.filter(|_| duty.fence > 0);
-    // A key of this instance without a lease is from an earlier life of its process.
-    let mine = duty.holder.as_deref() == Some(state.me.as_str());
-    let free = duty.watched && (duty.holder.is_none() || mine);
-    let (what, op) = match (own, duty.lease) {
+    // The key names this instance, but no own lease is held: an earlier process wrote it.
+    let is_own_key = duty.holder.as_deref() == Some(state.me.as_str());
+    let is_free = duty.watched && (duty.holder.is_none() || is_own_key);
+    let (purpose, op) = match (own, duty.lease) {
         (Some(lease), _) if state.stopping.is_some() => {
             (DutyCall::Revoke, StoreCall::Revoke { lease })
         }
         _ if state.stopping.is_some() => return,
         (Some(lease), _) => {
-            state.plan.duty.next_at = now + duty.length / RENEWALS;
+            state.plan.duty.next_at = now + duty.length / RENEWALS_PER_LEASE;
             (DutyCall::Renew(now), StoreCall::Renew { lease })
         }
-        (None, Some(lease)) if free => (DutyCall::Take(lease, now), take(state, lease)),
-        // The length goes by the fleet's size, so the list is read first.
-        (None, None) if free && state.listed && now >= duty.free_from => {
+        (None, Some(lease)) if is_free => (DutyCall::Take(lease, now), acquire_call(state, lease)),
+        // The lease length depends on the number of endpoints, so the list is read first.
+        (None, None) if is_free && state.listed && now >= duty.free_from => {
             let ttl_s = (lease_ms(state) / 1_000).max(1);
             (DutyCall::Grant(now), StoreCall::Grant { ttl_s })
         }
-        _ if !duty.watched => (DutyCall::Read, read()),
+        _ if !duty.watched => (DutyCall::Read, read_call()),
         _ => return,
     };
     let call = state.call(op, out);
-    state.plan.duty.call = Some((call, what));
+    state.plan.duty.call = Some((call, purpose));
 }
 
-/// Length of the lease: as set, and a millisecond for each endpoint where that is
-/// more, as a look at all of them takes this router's time. In whole seconds.
+/// Length of the lease: the configured one, or 1 ms per endpoint in whole seconds if that
+/// is longer, because a planning pass over all endpoints takes this router's time.
 fn lease_ms(state: &DirectState) -> Millis {
     let by_size = state.endpoints.len() as Millis / 1_000 * 1_000;
     state.knobs.lease_ms.max(by_size)
 }
 
-/// The store's era, which is known once anything was read.
+/// The store's era; 0 until anything was read from the store.
 fn era(state: &DirectState) -> u64 {
     state.store_era.unwrap_or(0)
 }
 
-/// How long to wait for what the store has lost: endpoints write theirs again, and an
-/// earlier holder's lease ends.
+/// How long to wait after the store was restored from a backup: until endpoints have
+/// written their entries again and the lease of an earlier planner has run out.
 fn settling_ms(state: &DirectState) -> Millis {
-    lease_ms(state).max(REWRITTEN_MS)
+    lease_ms(state).max(REWRITE_MS)
 }
 
-/// The store has come back from a copy: no lease or key that was read before it stands.
-pub(in crate::logic::direct) fn restored(
+/// Handles a store that was restored from a backup: no lease or key that was read before
+/// is valid any more.
+pub(in crate::logic::direct) fn on_store_restored(
     state: &mut DirectState,
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
     if state.plan.duty.fence > 0 {
-        let note = Note::new(NoteCode::DutyLost).with("why", "the store has gone back");
-        out.push(Effect::Note(note));
+        let event =
+            Note::new(NoteCode::DutyLost).with("why", "the store was restored from a backup");
+        out.push(Effect::Note(event));
     }
     state.plan.duty = Duty {
         free_from: now + settling_ms(state),
@@ -158,14 +162,15 @@
     };
 }
 
-fn read() -> StoreCall {
+fn read_call() -> StoreCall {
     StoreCall::Read {
         key: peers::PREFIX.to_string(),
         prefix: true,
     }
 }
 
-fn take(state: &DirectState, lease: i64) -> StoreCall {
+/// Writes the key under the own lease, unless it has changed since it was read.
+fn acquire_call(state: &DirectState, lease: i64) -> StoreCall {
     StoreCall::Swap {
         checks: vec![Check {
             key: KEY.to_string(),
@@ -188,30 +193,30 @@
     }
 }
 
-/// A call about the duty has been answered.
-pub(in crate::logic::direct) fn answered(
+/// Handles the store's reply to a call about the planner lease.
+pub(in crate::logic::direct) fn on_store_reply(
     state: &mut DirectState,
     now: Millis,
     call: CallId,
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some((_, what)) = state.plan.duty.call.filter(|(c, _)| *c == call) else {
+    let Some((_, purpose)) = state.plan.duty.call.filter(|(c, _)| *c == call) else {
         return;
     };
     state.plan.duty.call = None;
-    if let (DutyCall::Read, Ok(StoreReply::Entries { entries, .. })) = (what, &result) {
+    if let (DutyCall::Read, Ok(StoreReply::Entries { entries, .. })) = (purpose, &result) {
         peers::read(state, now, entries);
         crashes::read(state, now, entries, out);
     }
-    let pause = jitter(state);
+    let pause = jitter_ms(state);
     let (era, settling) = (era(state), settling_ms(state));
     let duty = &mut state.plan.duty;
-    match (what, result) {
+    match (purpose, result) {
         (DutyCall::Read, Ok(StoreReply::Entries { revision, entries })) => {
             duty.watched = true;
-            let taken_in = entries.iter().find(|e| e.key == ERA_KEY);
-            if taken_in.is_some_and(|e| e.value != era.to_string()) {
+            let last_era = entries.iter().find(|e| e.key == ERA_KEY);
+            if last_era.is_some_and(|e| e.value != era.to_string()) {
                 duty.free_from = duty.free_from.max(now + settling);
             }
             let found = entries.into_iter().find(|e| e.key == KEY);
@@ -231,34 +236,34 @@
             duty.fence = duty.taken.fence();
             duty.until = duty.granted + duty.length;
             duty.holder = Some(state.me.to_string());
-            let note = Note::new(NoteCode::DutyTaken).with("fence", duty.fence);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::DutyTaken).with("fence", duty.fence);
+            out.push(Effect::Note(event));
         }
         (DutyCall::Renew(at), Ok(StoreReply::Lease { ttl_s, .. })) if ttl_s > 0 => {
             duty.until = at + duty.length;
         }
         (DutyCall::Renew(_), Ok(_)) | (DutyCall::Revoke, _) => {
-            duty.drop_it();
+            duty.reset();
             out.push(Effect::Note(
-                Note::new(NoteCode::DutyLost).with("why", "the lease is over"),
+                Note::new(NoteCode::DutyLost).with("why", "the lease expired or was revoked"),
             ));
         }
-        // The lease may be gone, or another router was first.
+        // The lease may have expired, or another router has written the key first.
         (DutyCall::Take(..), _) => {
-            duty.drop_it();
-            duty.next_at = now + PAUSE_MS;
+            duty.reset();
+            duty.next_at = now + RETRY_PAUSE_MS;
         }
-        _ => duty.next_at = now + PAUSE_MS,
+        _ => duty.next_at = now + RETRY_PAUSE_MS,
     }
 }
 
-/// The watched key has changed.
-pub(in crate::logic::direct) fn changed(
+/// Handles changes of watched keys.
+pub(in crate::logic::direct) fn on_watch_changes(
     state: &mut DirectState,
     now: Millis,
     changes: &[StoreChange],
 ) {
-    let pause = jitter(state);
+    let pause = jitter_ms(state);
     let me = state.me.to_string();
     let duty = &mut state.plan.duty;
     for change in changes.iter().filter(|c| c.key == KEY) {
@@ -268,8 +273,8 @@
         } else {
             0
         };
-        let other = duty.holder.as_ref().is_some_and(|h| *h != me);
-        if other && duty.fence > 0 {
+        let is_other = duty.holder.as_ref().is_some_and(|h| *h != me);
+        if is_other && duty.fence > 0 {
             duty.fence = 0;
             duty.lease = None;
         }
@@ -279,7 +284,7 @@
     }
 }
 
-/// Changes of the watched key may have been missed.
-pub(in crate::logic::direct) fn unwatched(state: &mut DirectState) {
+/// Handles the loss of the watch: changes may have been missed, so the key is read again.
+pub(in crate::logic::direct) fn on_watch_lost(state: &mut DirectState) {
     state.plan.duty.watched = false;
 }
--- a/src/logic/direct/plan/ending.rs
+++ b/src/logic/direct/plan/ending.rs
@@ -1,37 +1,37 @@
 use crate::types::{InstanceId, Millis};
 
-/// A group that is being given up.
+/// A group that is ending.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ending {
     /// Its epoch.
     pub epoch: u64,
-    /// Its head; absent where the list doesn't name it.
+    /// Its head; none while no entry of the list shows it.
     pub head: Option<InstanceId>,
     /// Its other members that aren't lost.
     pub others: Vec<InstanceId>,
-    /// What is awaited.
+    /// The current step.
     pub step: EndingStep,
     /// When the step began.
     pub since: Millis,
-    /// When the order was last given.
+    /// When the step's orders were last sent.
     pub asked: Millis,
-    /// When a member was first known to have left, which breaks the head.
+    /// When a member was first known to have left without its head, which breaks the head.
     pub left: Option<Millis>,
 }
 
-/// What a group that is being given up waits for.
+/// What an ending group waits for.
 ///
-/// Nobody may join another group while the head could still be open. A head
-/// that can't be told to leave counts as open until other routers miss it too,
-/// or until it must have noticed that its members have left.
+/// None of its members may join another group while its head could still be open. A head
+/// that can't be reached counts as open until other routers confirm that it has stopped, or
+/// until it must have broken because its members have left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndingStep {
-    /// The head finishes what it has.
+    /// The head finishes its requests.
     Closing,
     /// The head confirms that it has left.
     Leaving,
-    /// Other routers tell whether they miss the head as well.
+    /// Other routers report whether they find that the head has stopped.
     Confirming,
-    /// The other members have left; the head stands still and breaks.
+    /// The other members are ordered to leave; the head then stalls and breaks.
     Breaking,
 }
--- a/src/logic/direct/plan/fill.rs
+++ b/src/logic/direct/plan/fill.rs
@@ -1,30 +1,31 @@
-//! Decides which groups free endpoints form.
+//! Decides which groups the free endpoints form.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::fleet_view::{standing, FleetView};
+use super::fleet_view::{counts_by_place, FleetView};
 use super::mix::best_mix;
 use super::survey::{self, Place};
-use super::trade::{awaits_trade, trade, trades};
-use super::value::{able, readiness, worth, COLD};
+use super::trade::{find_trade, has_pending_trade, try_trade};
+use super::value::{readiness, readiness_by_model, worth, COLD};
 use super::{form, place, PlaceInput, PlaceModel};
 use crate::logic::direct::DirectState;
 use crate::logic::Effect;
 use crate::types::{EngineModel, EngineSpec, InstanceId, Millis};
 
-/// Time without a new endpoint after which the first placement is made.
+/// Time without a change in the number of endpoints after which the initial placement is
+/// made.
 const SETTLED_MS: Millis = 500;
 
-/// Time of a join where the endpoint held the model just before.
-const AGAIN_MS: Millis = 200;
+/// Time to join for an endpoint that has held the model just before.
+const REJOIN_MS: Millis = 200;
 
-/// Forms what can be formed.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Forms the groups that free endpoints can form, and looks for trades.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let free = survey::free(state);
-    if cheap(state) {
+    if is_initial_phase(state) {
         if now >= state.plan.count.1 + SETTLED_MS {
-            first(state, now, free, out);
+            form_initial(state, now, free, out);
         }
         return;
     }
@@ -33,19 +34,19 @@
         let Some(engine) = engine(state, &place.0) else {
             continue;
         };
-        let at = Offer {
+        let pool = FreePool {
             place: &place,
             free: &free,
             engine: &engine,
         };
-        repair(state, now, &mut view, &at, out);
+        form_best_mix(state, now, &mut view, &pool, out);
     }
-    trades(state, now, &view, out);
+    find_trade(state, now, &view, out);
 }
 
-/// Free endpoints of one service and domain.
-pub(super) struct Offer<'a> {
-    /// Where they are.
+/// The free endpoints of one service and domain.
+pub(super) struct FreePool<'a> {
+    /// Service and domain.
     pub(super) place: &'a Place,
     /// The endpoints.
     pub(super) free: &'a [InstanceId],
@@ -53,22 +54,23 @@
     pub(super) engine: &'a EngineSpec,
 }
 
-/// Whether loads are cheap: the system is new and no caller has come yet.
-pub(super) fn cheap(state: &DirectState) -> bool {
+/// Whether the whole system starts for the first time and no caller has come yet: loads
+/// take nothing from callers then.
+pub(super) fn is_initial_phase(state: &DirectState) -> bool {
     state.plan.first && !state.plan.traffic
 }
 
-/// The engine of a service.
+/// The engine of a service, if it has one.
 pub(super) fn engine(state: &DirectState, service: &Arc<str>) -> Option<EngineSpec> {
     let routing = state.routing.as_ref()?;
     routing.services.get(service)?.engine.clone()
 }
 
-/// The placement to aim at: groups of each model, by place.
+/// The initial placement: how many groups of each model each place should have.
 pub(super) fn targets(state: &DirectState) -> BTreeMap<(Place, Arc<str>), usize> {
     let mut sizes: BTreeMap<Place, usize> = BTreeMap::new();
     for (id, view) in &state.endpoints {
-        if survey::usable(state, id, view) {
+        if survey::is_usable(state, id, view) {
             let place = (view.entry.service.clone(), view.entry.domain.clone());
             *sizes.entry(place).or_default() += 1;
         }
@@ -97,15 +99,16 @@
     targets
 }
 
-/// The first placement, from endpoints that hold what they need.
-fn first(
+/// Forms the groups of the initial placement for which enough endpoints need no load from
+/// the weight store.
+fn form_initial(
     state: &mut DirectState,
     now: Millis,
     free: BTreeMap<Place, Vec<InstanceId>>,
     out: &mut Vec<Effect>,
 ) {
     let targets = targets(state);
-    let mut standing = standing(state);
+    let mut counts = counts_by_place(state);
     for (place, mut free) in free {
         let Some(engine) = engine(state, &place.0) else {
             continue;
@@ -113,14 +116,14 @@
         for model in &engine.models {
             let key = (place.clone(), model.name.clone());
             let wanted = targets.get(&key).copied().unwrap_or(0);
-            let stands = standing.entry(key).or_default();
-            while *stands < wanted {
-                sort(state, &mut free, &model.name);
-                let ready = |id: &InstanceId| readiness(state, id, &model.name) < COLD;
-                if free.iter().take_while(|id| ready(id)).count() < model.size {
+            let count = counts.entry(key).or_default();
+            while *count < wanted {
+                sort_by_readiness(state, &mut free, &model.name);
+                let is_ready = |id: &InstanceId| readiness(state, id, &model.name) < COLD;
+                if free.iter().take_while(|id| is_ready(id)).count() < model.size {
                     break;
                 }
-                *stands += 1;
+                *count += 1;
                 let members = free.drain(..model.size).collect();
                 let takes = model.warm_ms + engine.form_ms;
                 form::begin(state, now, &place, model.name.clone(), members, takes, out);
@@ -129,31 +132,31 @@
     }
 }
 
-/// Forms groups from endpoints that need no load from the weight store: the mix
-/// that adds most to what the service can do.
-fn repair(
+/// Forms the mix of groups that adds most to the service's worth, from endpoints that need
+/// no load from the weight store.
+fn form_best_mix(
     state: &mut DirectState,
     now: Millis,
     view: &mut FleetView,
-    at: &Offer,
+    pool: &FreePool,
     out: &mut Vec<Effect>,
 ) {
-    let Offer {
+    let FreePool {
         place,
         free,
         engine,
-    } = *at;
-    if awaits_trade(state, place) {
+    } = *pool;
+    if has_pending_trade(state, place) {
         return;
     }
     let counts = view.counts(&place.0);
-    let able = able(state, free, engine);
+    let readiness = readiness_by_model(state, free, engine);
     let sizes: Vec<usize> = engine.models.iter().map(|m| m.size).collect();
-    let mix = best_mix(&able, &sizes, worth(view.needs(&place.0), &counts));
+    let mix = best_mix(&readiness, &sizes, worth(view.needs(&place.0), &counts));
     let Some((value, mix)) = mix else {
         return;
     };
-    if trade(state, now, view, at, value, out) {
+    if try_trade(state, now, view, pool, value, out) {
         return;
     }
     for (n, members) in mix.into_iter().enumerate() {
@@ -162,15 +165,15 @@
             counts[n] += members.len();
         }
         for members in members {
-            let warm = members.iter().any(|member| able[*member][n] > 0);
-            let load = if warm { model.warm_ms } else { AGAIN_MS };
+            let must_load = members.iter().any(|member| readiness[*member][n] > 0);
+            let join_ms = if must_load { model.warm_ms } else { REJOIN_MS };
             let members = members.iter().map(|n| free[*n].clone()).collect();
-            let takes = load + engine.form_ms;
+            let takes = join_ms + engine.form_ms;
             form::begin(state, now, place, model.name.clone(), members, takes, out);
         }
     }
 }
 
-fn sort(state: &DirectState, free: &mut [InstanceId], model: &Arc<str>) {
+fn sort_by_readiness(state: &DirectState, free: &mut [InstanceId], model: &Arc<str>) {
     free.sort_by_key(|id| readiness(state, id, model));
 }
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -1,4 +1,5 @@
-//! Forms groups: every member joins, all get ready, the head opens.
+//! Forms groups: every member is ordered to join, and once all are ready the head is
+//! ordered to open.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,23 +9,22 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis, SeatState};
 
-/// Epochs that one fence has room for.
-const EPOCHS: u64 = 4_096;
+/// Epochs that belong to one fence.
+const EPOCHS_PER_FENCE: u64 = 4_096;
 
-/// What a group may take beyond the published times before it is given up.
-const SLACK_MS: Millis = 3_000;
+/// Time beyond the published ones after which a group that isn't open is given up.
+const FORM_SLACK_MS: Millis = 3_000;
 
-/// An epoch above every one that was given out before, by any planner.
+/// An epoch above every earlier one of any planner.
 pub(super) fn next_epoch(state: &mut DirectState) -> u64 {
     state.plan.named += 1;
-    state.plan.duty.fence * EPOCHS + state.plan.named
+    state.plan.duty.fence * EPOCHS_PER_FENCE + state.plan.named
 }
 
-/// Time beyond the published one after which members that aren't ready are
-/// looked at.
-const LATE_MS: Millis = 150;
+/// Time beyond the published ones after which members that aren't ready are probed.
+const LATE_PROBE_MS: Millis = 150;
 
-/// Begins a group.
+/// Starts to form a group. `takes` is the expected time until it is open, in milliseconds.
 pub(super) fn begin(
     state: &mut DirectState,
     now: Millis,
@@ -36,13 +36,13 @@
 ) {
     let epoch = next_epoch(state);
     let group: Arc<str> = format!("g{epoch}").into();
-    let note = Note::new(NoteCode::GroupForming)
+    let event = Note::new(NoteCode::GroupForming)
         .with("group", &group)
         .with("model", &model)
         .with("domain", &place.1)
-        .with("members", names(&members))
+        .with("members", joined_ids(&members))
         .with("expected_ms", takes);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let forming = Forming {
         epoch,
         service: place.0.clone(),
@@ -53,24 +53,29 @@
         seen: BTreeMap::new(),
         asked: now,
         since: now,
-        limit: now + takes + SLACK_MS,
+        limit: now + takes + FORM_SLACK_MS,
         opened: None,
         adopted: false,
     };
     for member in &forming.members {
         state.plan.staging.remove(member);
     }
-    join(state, &group, &forming, out);
+    send_join_orders(state, &group, &forming, out);
     state.plan.forming.insert(group, forming);
 }
 
-fn names(members: &[InstanceId]) -> String {
-    let names: Vec<_> = members.iter().map(InstanceId::as_str).collect();
-    names.join(",")
+fn joined_ids(members: &[InstanceId]) -> String {
+    let ids: Vec<_> = members.iter().map(InstanceId::as_str).collect();
+    ids.join(",")
 }
 
-/// Tells every member that hasn't taken the order yet to join.
-fn join(state: &mut DirectState, group: &Arc<str>, forming: &Forming, out: &mut Vec<Effect>) {
+/// Orders every member to join that hasn't accepted that order yet.
+fn send_join_orders(
+    state: &mut DirectState,
+    group: &Arc<str>,
+    forming: &Forming,
+    out: &mut Vec<Effect>,
+) {
     for id in &forming.members {
         if forming.taken.contains(id) {
             continue;
@@ -81,25 +86,25 @@
             model: forming.model.clone(),
             members: forming.members.clone(),
         };
-        order::give(state, id, step, OrderUse::Join(group.clone()), out);
+        order::send(state, id, step, OrderUse::Join(group.clone()), out);
     }
 }
 
-/// Goes on with every group that is being formed.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Advances every group that is being formed.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let names: Vec<_> = state.plan.forming.keys().cloned().collect();
     for group in names {
         let Some(mut forming) = state.plan.forming.remove(&group) else {
             continue;
         };
-        if go_on(state, now, &group, &mut forming, out) {
+        if advance(state, now, &group, &mut forming, out) {
             state.plan.forming.insert(group, forming);
         }
     }
 }
 
-/// The next step of one group; false when it is open or given up.
-fn go_on(
+/// Takes the next step of one group. False once the group is open or given up.
+fn advance(
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
@@ -109,23 +114,25 @@
     let seats: Vec<_> = forming
         .members
         .iter()
-        .map(|id| newest(seat(state, id, group), forming.seen.get(id).copied()))
+        .map(|id| latest_state(seat_state(state, id, group), forming.seen.get(id).copied()))
         .collect();
     if seats.first() == Some(&Some(SeatState::Open)) {
-        let note = Note::new(NoteCode::GroupOpened)
+        let event = Note::new(NoteCode::GroupOpened)
             .with("group", group)
             .with("took", now.saturating_sub(forming.since));
-        out.push(Effect::Note(note));
-        seat_all(state, now, group, forming);
+        out.push(Effect::Note(event));
+        record_seats(state, now, group, forming);
         return false;
     }
     let lost = forming
         .members
         .iter()
-        .find(|id| !stands(state, id))
+        .find(|id| !is_available(state, id))
         .cloned();
     if lost.is_some() || now >= forming.limit {
-        let why = lost.map_or("its time is over".to_string(), |id| format!("{id} is lost"));
+        let why = lost.map_or("not open within its time limit".to_string(), |id| {
+            format!("{id} is lost")
+        });
         give_up(state, now, group, forming, &why, out);
         return false;
     }
@@ -136,33 +143,34 @@
     }
     if forming.taken.len() < forming.members.len() && now >= forming.asked + state.knobs.order_ms {
         forming.asked = now;
-        join(state, group, forming, out);
+        send_join_orders(state, group, forming, out);
     }
-    if now + SLACK_MS >= forming.limit + LATE_MS {
+    if now + FORM_SLACK_MS >= forming.limit + LATE_PROBE_MS {
         for (id, seat) in forming.members.iter().zip(&seats) {
             if !matches!(seat, Some(SeatState::Ready | SeatState::Open)) {
-                look::at(state, now, id, out);
+                look::send_if_due(state, now, id, out);
             }
         }
     }
-    let ready = |s: &Option<SeatState>| matches!(s, Some(SeatState::Ready | SeatState::Open));
+    let is_ready = |s: &Option<SeatState>| matches!(s, Some(SeatState::Ready | SeatState::Open));
     let due = forming
         .opened
         .is_none_or(|at| now >= at + state.knobs.order_ms);
-    if seats.iter().all(ready) && due {
+    if seats.iter().all(is_ready) && due {
         forming.opened = Some(now);
         let head = forming.members[0].clone();
         let step = GroupStep::Open {
             group: group.clone(),
             epoch: forming.epoch,
         };
-        order::give(state, &head, step, OrderUse::Open(group.clone()), out);
+        order::send(state, &head, step, OrderUse::Open(group.clone()), out);
     }
     true
 }
 
-/// The members of an open group keep their places, though the list may lag behind.
-fn seat_all(state: &mut DirectState, now: Millis, group: &Arc<str>, forming: &Forming) {
+/// Records the seats of a group that has opened, as the list may lag behind for some of
+/// its members, which would count as free.
+fn record_seats(state: &mut DirectState, now: Millis, group: &Arc<str>, forming: &Forming) {
     for (rank, id) in forming.members.iter().enumerate() {
         let seat = GroupSeat {
             group: group.clone(),
@@ -191,8 +199,10 @@
     }
 }
 
-/// An entry of the list, in which a place that this planner knows better stands.
-pub(in crate::logic::direct) fn corrected(
+/// Puts the seat that this planner has recorded into an entry of the list, if the entry
+/// shows an older one. The record is dropped once the list has caught up or the group has
+/// ended.
+pub(in crate::logic::direct) fn apply_known_seat(
     state: &mut DirectState,
     id: &InstanceId,
     mut entry: EndpointEntry,
@@ -210,7 +220,8 @@
     entry
 }
 
-/// Gives a group up that isn't open; its members are free once nothing can open it.
+/// Gives up a group that isn't open. If its head may have been ordered to open, the group
+/// has to end in order; otherwise its members are free at once.
 pub(super) fn give_up(
     state: &mut DirectState,
     now: Millis,
@@ -219,10 +230,10 @@
     why: &str,
     out: &mut Vec<Effect>,
 ) {
-    let note = Note::new(NoteCode::GroupGivenUp)
+    let event = Note::new(NoteCode::GroupGivenUp)
         .with("group", group)
         .with("why", why);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     if forming.opened.is_some() || forming.adopted {
         let ending = Ending {
             epoch: forming.epoch,
@@ -233,14 +244,14 @@
             asked: now,
             left: None,
         };
-        retire::enter(state, now, group, ending, out);
+        retire::add_ending(state, now, group, ending, out);
     } else {
         state.plan.ended.insert(group.clone());
     }
 }
 
-/// A member has told its place in a group that is being formed.
-pub(super) fn told(state: &mut DirectState, id: &InstanceId, seat: &GroupSeat) {
+/// Handles a member's own report of its seat in a group that is being formed.
+pub(super) fn on_seat_report(state: &mut DirectState, id: &InstanceId, seat: &GroupSeat) {
     if let Some(forming) = state.plan.forming.get_mut(&seat.group) {
         if forming.epoch == seat.epoch {
             forming.seen.insert(id.clone(), seat.state);
@@ -248,23 +259,23 @@
     }
 }
 
-/// Whether a member can still be counted on.
-fn stands(state: &DirectState, id: &InstanceId) -> bool {
+/// Whether a member is known, not about to leave and not lost.
+fn is_available(state: &DirectState, id: &InstanceId) -> bool {
     let view = state.endpoints.get(id);
-    let there = view.is_some_and(|v| !v.entry.leaving);
-    there && !state.plan.lost.contains_key(id)
+    let is_staying = view.is_some_and(|v| !v.entry.leaving);
+    is_staying && !state.plan.lost.contains_key(id)
 }
 
-/// What is known of a member's place: the list's word, unless its own is ahead.
-fn newest(listed: Option<SeatState>, seen: Option<SeatState>) -> Option<SeatState> {
+/// The state of a member's seat: as listed, unless the member's own report is ahead of it.
+fn latest_state(listed: Option<SeatState>, reported: Option<SeatState>) -> Option<SeatState> {
     match listed {
-        None | Some(SeatState::Joining) => seen.or(listed),
+        None | Some(SeatState::Joining) => reported.or(listed),
         further => further,
     }
 }
 
-/// How far a member is with its place in this group.
-fn seat(state: &DirectState, id: &InstanceId, group: &Arc<str>) -> Option<SeatState> {
+/// The listed state of a member's seat in this group.
+fn seat_state(state: &DirectState, id: &InstanceId, group: &Arc<str>) -> Option<SeatState> {
     let seat = state.endpoints.get(id)?.entry.seat.as_ref()?;
     (seat.group == *group).then_some(seat.state)
 }
--- a/src/logic/direct/plan/forming.rs
+++ b/src/logic/direct/plan/forming.rs
@@ -16,18 +16,18 @@
     pub model: Arc<str>,
     /// Its members, the head first.
     pub members: Vec<InstanceId>,
-    /// Members that have taken the order to join.
+    /// Members that show a seat in this group, and so have accepted the order to join.
     pub taken: BTreeSet<InstanceId>,
-    /// What members told of this place themselves, where the list lags.
+    /// Seat states that members have reported themselves, as the list may lag behind.
     pub seen: BTreeMap<InstanceId, SeatState>,
-    /// When the orders to join were last given.
+    /// When orders to join were last sent.
     pub asked: Millis,
-    /// When it was begun.
+    /// When forming it began.
     pub since: Millis,
-    /// When it is given up.
+    /// When it is given up if it isn't open.
     pub limit: Millis,
-    /// Whether another planner began it, and may have told the head to open.
+    /// Whether another planner began it, and may have ordered the head to open.
     pub adopted: bool,
-    /// When the head was last told to open.
+    /// When the head was last ordered to open, if it was.
     pub opened: Option<Millis>,
 }
--- a/src/logic/direct/plan/group_view.rs
+++ b/src/logic/direct/plan/group_view.rs
@@ -12,32 +12,32 @@
     pub service: Arc<str>,
     /// Its fabric domain.
     pub domain: Arc<str>,
-    /// Its model, where any member tells it.
+    /// Its model, if the entry of any member shows it.
     pub model: Option<Arc<str>>,
     /// Its members that aren't lost, by rank.
     pub seats: BTreeMap<usize, Seat>,
 }
 
-/// A member of a group.
+/// A member of a group, as its entry in the list shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seat {
-    /// The member.
+    /// Instance id.
     pub id: InstanceId,
-    /// How far it is.
+    /// State of its seat.
     pub state: SeatState,
     /// Whether it is about to leave.
     pub leaving: bool,
-    /// Whether the list names it now.
+    /// Whether the list contains it now.
     pub listed: bool,
 }
 
 impl GroupView {
-    /// Whether all of `size` members are there.
+    /// Whether every rank of a group of `size` members is present.
     pub fn complete(&self, size: usize) -> bool {
         (0..size).all(|rank| self.seats.contains_key(&rank))
     }
 
-    /// Whether every member that is there has loaded.
+    /// Whether every member that is present has loaded the model.
     pub fn loaded(&self) -> bool {
         self.seats.values().all(|s| s.state != SeatState::Joining)
     }
--- a/src/logic/direct/plan/idle.rs
+++ b/src/logic/direct/plan/idle.rs
@@ -1,4 +1,5 @@
-//! Which endpoints of engines serve in no group, and why.
+//! Reports endpoints of engines that serve in no group, with the reason, and frees those
+//! that still have a seat in a group that has ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,9 +9,9 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{InstanceId, Millis};
 
-/// Time for which an endpoint must be free until it counts as idle: the steps from
-/// one group to the next take less.
-const IDLE_MS: Millis = 1_000;
+/// Time for which an endpoint must be free before it is reported: a move from one group to
+/// the next takes less.
+const MIN_IDLE_MS: Millis = 1_000;
 
 /// An endpoint that is free.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,28 +20,28 @@
     pub since: Millis,
     /// Why.
     pub reason: IdleReason,
-    /// Whether this reason was logged.
+    /// Whether it was logged with this reason.
     pub told: bool,
-    /// The group that it was told to leave: the list shows it there though it is over.
+    /// The ended group that it was ordered to leave, as the list still shows its seat there.
     pub left: Option<Arc<str>>,
 }
 
-/// Notes who is idle, and logs each new reason once.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Updates the free endpoints with their reasons, and logs each new reason once.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let mut idle = BTreeMap::new();
     for id in survey::free(state).into_values().flatten() {
-        let reason = reason(state, &id);
+        let reason = idle_reason(state, &id);
         let known = state.plan.idle.get(&id).cloned();
         let since = known.as_ref().map_or(now, |i| i.since);
         let told = known.as_ref().is_some_and(|i| i.told && i.reason == reason);
-        let due = !told && now >= since + IDLE_MS;
+        let due = !told && now >= since + MIN_IDLE_MS;
         if due {
-            out.push(Effect::Note(note(state, now, &id, since, reason)));
+            out.push(Effect::Note(idle_event(state, now, &id, since, reason)));
         }
         let told = told || due;
         let mut left = known.and_then(|i| i.left.clone());
-        if now >= since + IDLE_MS && state.knobs.on(Mechanism::Freeing) {
-            left = leave(state, &id, left, out);
+        if now >= since + MIN_IDLE_MS && state.knobs.on(Mechanism::Freeing) {
+            left = send_leave_once(state, &id, left, out);
         }
         let entry = Idle {
             since,
@@ -53,32 +54,32 @@
     state.plan.idle = idle;
 }
 
-/// Tells an endpoint that still has a place in a group which is over to leave it, once.
-/// A planner that takes over can't know that the group is over, and would wait until
-/// its head must have broken.
-fn leave(
+/// Orders an endpoint that still has a seat in an ended group to leave it, once for each
+/// group. A new planner can't know that the group has ended, and would wait until its head
+/// must have broken. Returns the last group that the endpoint was ordered to leave.
+fn send_leave_once(
     state: &mut DirectState,
     id: &InstanceId,
     left: Option<Arc<str>>,
     out: &mut Vec<Effect>,
 ) -> Option<Arc<str>> {
     let seat = state.endpoints.get(id)?.entry.seat.clone()?;
-    let over = state.plan.ended.contains(&seat.group);
-    if !over || left.as_ref() == Some(&seat.group) {
+    let has_ended = state.plan.ended.contains(&seat.group);
+    if !has_ended || left.as_ref() == Some(&seat.group) {
         return left;
     }
     let step = GroupStep::Leave {
         group: seat.group.clone(),
         epoch: seat.epoch,
     };
-    order::give(state, id, step, OrderUse::Free(id.clone()), out);
+    order::send(state, id, step, OrderUse::Free(id.clone()), out);
     Some(seat.group)
 }
 
-fn reason(state: &DirectState, id: &InstanceId) -> IdleReason {
+fn idle_reason(state: &DirectState, id: &InstanceId) -> IdleReason {
     let view = state.endpoints.get(id);
-    let holds = view.is_some_and(|v| v.last.is_some() || !v.entry.staged.is_empty());
-    if holds {
+    let has_model = view.is_some_and(|v| v.last.is_some() || !v.entry.staged.is_empty());
+    if has_model {
         IdleReason::Waits
     } else if state.plan.staging.contains_key(id) {
         IdleReason::Loads
@@ -87,7 +88,7 @@
     }
 }
 
-fn note(
+fn idle_event(
     state: &DirectState,
     now: Millis,
     id: &InstanceId,
--- a/src/logic/direct/plan/idle_reason.rs
+++ b/src/logic/direct/plan/idle_reason.rs
@@ -1,12 +1,12 @@
-/// Why an endpoint serves in no group.
+/// Why an endpoint of an engine serves in no group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum IdleReason {
-    /// It loads a model and holds none.
+    /// It has no model yet and was ordered to load one.
     Loads,
-    /// It holds no model and waits for its turn to load one.
+    /// It has no model and waits for its turn to load one.
     Empty,
-    /// It could serve, but too few others of its domain are ready for the same model, or
-    /// a group of them would add less than they may add elsewhere.
+    /// It has a model, but too few other endpoints of its domain are ready for the same one,
+    /// or a group of them would add less than they may add elsewhere.
     Waits,
 }
 
--- a/src/logic/direct/plan/inspect.rs
+++ b/src/logic/direct/plan/inspect.rs
@@ -8,50 +8,51 @@
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, SeatState};
 
-/// Time that a group gets to become complete that an earlier planner began.
-const PARTIAL_MS: Millis = 1_500;
+/// Time that an incomplete group begun by an earlier planner gets to become complete.
+const INCOMPLETE_LIMIT_MS: Millis = 1_500;
 
-/// Time that a group gets to load that an earlier planner began.
-const ADOPTED_MS: Millis = 5_000;
+/// Time that a group begun by an earlier planner gets to load its model.
+const ADOPTED_LIMIT_MS: Millis = 5_000;
 
-/// Inspects every group that nothing is being done about.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Inspects every group that is neither being formed nor ending.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let groups = survey::groups(state);
     state
         .plan
         .partial
         .retain(|name, _| groups.contains_key(name));
     for (name, group) in groups {
-        let busy = state.plan.forming.contains_key(&name) || state.plan.ending.contains_key(&name);
-        if !busy {
-            one(state, now, &name, &group, out);
+        let is_handled =
+            state.plan.forming.contains_key(&name) || state.plan.ending.contains_key(&name);
+        if !is_handled {
+            inspect_group(state, now, &name, &group, out);
         }
     }
 }
 
-fn one(
+fn inspect_group(
     state: &mut DirectState,
     now: Millis,
     name: &Arc<str>,
     group: &GroupView,
     out: &mut Vec<Effect>,
 ) {
-    let size = size(state, group);
+    let size = group_size(state, group);
     if !size.is_some_and(|size| group.complete(size)) {
         let since = *state.plan.partial.entry(name.clone()).or_insert(now);
         let limit = if size.is_some() {
-            PARTIAL_MS
+            INCOMPLETE_LIMIT_MS
         } else {
-            ADOPTED_MS
+            ADOPTED_LIMIT_MS
         };
-        if !may_come(state, name, group) || now >= since + limit {
+        if !can_complete(state, name, group) || now >= since + limit {
             retire::begin(state, now, name, group, false, out);
         }
         return;
     }
     state.plan.partial.remove(name);
     for seat in group.seats.values().filter(|s| !s.listed) {
-        look::at(state, now, &seat.id, out);
+        look::send_if_due(state, now, &seat.id, out);
     }
     match group.head().map(|h| h.state) {
         Some(SeatState::Open) if group.seats.values().any(|s| s.leaving) => {
@@ -59,36 +60,36 @@
         }
         Some(SeatState::Open) => {}
         Some(SeatState::Joining | SeatState::Ready) => adopt(state, now, name, group),
-        Some(SeatState::Closing) => close(state, now, name, group),
+        Some(SeatState::Closing) => adopt_ending(state, now, name, group),
         Some(SeatState::Broken) | None => {
             retire::begin(state, now, name, group, false, out);
         }
     }
 }
 
-/// Whether what a group lacks may still be listed: another planner has just
-/// begun it, or the list has lost its head without this router missing it.
-fn may_come(state: &DirectState, name: &Arc<str>, group: &GroupView) -> bool {
+/// Whether an incomplete group may still become complete in the list: none of its members
+/// is lost, and either an earlier planner has just begun it or the list lacks its head.
+fn can_complete(state: &DirectState, name: &Arc<str>, group: &GroupView) -> bool {
     let seat_of = |id: &InstanceId| state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
-    let missed = state
+    let has_lost = state
         .plan
         .lost
         .keys()
         .any(|id| seat_of(id).is_some_and(|s| s.group == *name));
-    let begun = |s: SeatState| matches!(s, SeatState::Joining | SeatState::Ready);
-    let under_way = |head: &Seat| begun(head.state) || !group.loaded();
-    !missed && group.head().is_none_or(under_way)
+    let is_begun = |s: SeatState| matches!(s, SeatState::Joining | SeatState::Ready);
+    let is_forming = |head: &Seat| is_begun(head.state) || !group.loaded();
+    !has_lost && group.head().is_none_or(is_forming)
 }
 
-/// Instances that a group needs; unknown while no member shows its model, as those
-/// that are listed by then may not be all.
-fn size(state: &DirectState, group: &GroupView) -> Option<usize> {
+/// Number of members that a group needs. Unknown while no member shows the model; the
+/// members listed so far may not be all.
+fn group_size(state: &DirectState, group: &GroupView) -> Option<usize> {
     let routing = state.routing.as_ref()?;
     let engine = routing.services.get(&group.service)?.engine.as_ref()?;
     Some(engine.model(group.model.as_ref()?)?.size)
 }
 
-/// Goes on with a group that another planner has begun.
+/// Continues to form a group that another planner has begun.
 fn adopt(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
     let members: Vec<InstanceId> = group.seats.values().map(|s| s.id.clone()).collect();
     let taken: BTreeSet<_> = members.iter().cloned().collect();
@@ -102,15 +103,15 @@
         seen: BTreeMap::new(),
         asked: now,
         since: now,
-        limit: now + ADOPTED_MS,
+        limit: now + ADOPTED_LIMIT_MS,
         opened: None,
         adopted: true,
     };
     state.plan.forming.insert(name.clone(), forming);
 }
 
-/// Goes on with a group that another planner has told to close.
-fn close(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
+/// Continues to end a group whose head another planner has ordered to close.
+fn adopt_ending(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
     let others = group.seats.values().skip(1);
     let ending = Ending {
         epoch: group.epoch,
--- a/src/logic/direct/plan/load_budget.rs
+++ b/src/logic/direct/plan/load_budget.rs
@@ -1,46 +1,49 @@
 use crate::types::Millis;
 
-/// Thousandths of a load that one load takes.
-const ONE: u64 = 1_000;
+/// One load, in thousandths.
+const ONE_LOAD_PER_MILLE: u64 = 1_000;
 
-/// Loads from the weight store that this planner may begin now.
+/// A token bucket for loads from the weight store.
 ///
-/// Fills evenly at the published rate and holds little, so that the loads of two
-/// planners in a row stay within the tenth that operators allow beyond the rate over a
-/// few seconds. A planner that takes over starts empty: the one before it may have
-/// used up what there was.
+/// It refills evenly at the published rate and holds little, so that the loads of two
+/// successive planners stay within the tenth above the rate that operators allow over a
+/// few seconds. A new planner starts with an empty budget, as its predecessor may have
+/// used it up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LoadBudget {
-    /// Thousandths of a load that may begin.
-    room: u64,
-    /// When that was reckoned.
-    at: Millis,
+    /// Loads that may begin now, in thousandths.
+    available: u64,
+    /// When it was last refilled.
+    filled_at: Millis,
 }
 
 impl LoadBudget {
-    /// A budget that begins empty.
+    /// An empty budget.
     pub fn empty(now: Millis) -> Self {
-        Self { room: 0, at: now }
+        Self {
+            available: 0,
+            filled_at: now,
+        }
     }
 
-    /// Fills it up to now. `rate` is how many loads may begin in 1,000 seconds; it
-    /// holds one load and a quarter of what may begin in a second.
+    /// Refills it up to `now`. `rate` is the number of loads that may begin in 1,000 seconds.
+    /// The budget holds at most one load and a quarter of those that may begin in a second.
     pub fn fill(&mut self, now: Millis, rate: u64) {
-        let most = ONE + rate / 4;
-        let come = now.saturating_sub(self.at) * rate / ONE;
-        if come > 0 {
-            self.room = (self.room + come).min(most);
-            self.at = now;
+        let max = ONE_LOAD_PER_MILLE + rate / 4;
+        let gained = now.saturating_sub(self.filled_at) * rate / ONE_LOAD_PER_MILLE;
+        if gained > 0 {
+            self.available = (self.available + gained).min(max);
+            self.filled_at = now;
         }
     }
 
     /// Whether a load may begin.
     pub fn has_room(&self) -> bool {
-        self.room >= ONE
+        self.available >= ONE_LOAD_PER_MILLE
     }
 
     /// Counts a load that begins.
     pub fn take(&mut self) {
-        self.room = self.room.saturating_sub(ONE);
+        self.available = self.available.saturating_sub(ONE_LOAD_PER_MILLE);
     }
 }
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -1,4 +1,4 @@
-//! Looks at endpoints that may be lost.
+//! Probes endpoints that may be lost, and asks other routers about heads.
 
 use std::sync::Arc;
 
@@ -7,63 +7,63 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{InstanceId, Millis};
 
-/// Looks without an answer after which an endpoint is lost.
-const MISSES: u32 = 2;
+/// Consecutive probes without an answer after which an endpoint counts as lost.
+const MAX_MISSES: u32 = 2;
 
-/// Shortest time between two looks at an endpoint that answered.
-const AGAIN_MS: Millis = 400;
+/// Shortest time between two probes of an endpoint that answered the first.
+const PROBE_INTERVAL_MS: Millis = 400;
 
-/// Time between two looks at an endpoint that was lost and beats again.
-const LOST_AGAIN_MS: Millis = 1_000;
+/// Shortest time between two probes of a lost endpoint that sends heartbeats again.
+const LOST_PROBE_INTERVAL_MS: Millis = 1_000;
 
-/// Other routers that are asked about a head that is missed, where there are so
-/// many. All of them must miss it as well: some may be cut off together.
-const ASKED: usize = 4;
+/// Other routers, at most, that are asked about a head that didn't answer. None of them
+/// may find it alive: a few routers may be cut off from it together.
+const MAX_ASKED_ROUTERS: usize = 4;
 
-/// Time after which other routers are asked anew about a head that is missed: as
-/// long as a group waits for their answers.
-const ASK_AGAIN_MS: Millis = 400;
+/// Shortest time between two rounds of questions to other routers about one head: as long
+/// as the ending of its group waits for their answers.
+const ASK_INTERVAL_MS: Millis = 400;
 
-/// Looks at one endpoint.
+/// Probes of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Look {
-    /// Whether an answer is awaited.
+    /// Whether a probe awaits its answer.
     pub pending: bool,
-    /// Looks without an answer, in a row.
+    /// Consecutive probes without an answer.
     pub misses: u32,
-    /// When the last one began.
+    /// When the last probe was sent; 0 before the first.
     pub since: Millis,
-    /// Questions to other routers that aren't answered.
+    /// Numbers of the questions to other routers that await answers.
     pub asked: Vec<u64>,
-    /// When they were last asked.
+    /// When other routers were last asked; 0 before that.
     pub asked_at: Millis,
-    /// What this router saw itself, where it missed the endpoint.
+    /// This router's own observation, by its last probe.
     pub own: Option<Sight>,
-    /// What other routers saw, since they were last asked.
+    /// Observations of other routers since they were last asked.
     pub others: Vec<Sight>,
 }
 
 impl Look {
-    /// Whether any router knows that the endpoint lives.
-    fn alive(&self) -> bool {
-        self.sights().any(|s| s == Sight::Alive)
+    /// Whether any router finds the endpoint alive.
+    fn is_alive(&self) -> bool {
+        self.observations().any(|s| s == Sight::Alive)
     }
 
-    /// Whether what was seen shows that the endpoint is over. That it refuses
-    /// connections alone doesn't: one that stops in order does so as well while it
-    /// finishes its work.
-    fn over(&self) -> bool {
-        let any = |sight| self.sights().any(|s| s == sight);
+    /// Whether the observations show that the endpoint has stopped. Refused connections
+    /// alone don't: an endpoint that stops in order refuses them too while it finishes its
+    /// work.
+    fn is_stopped(&self) -> bool {
+        let any = |observation| self.observations().any(|s| s == observation);
         !any(Sight::Alive) && (!any(Sight::Refuses) || any(Sight::Gone))
     }
 
-    fn sights(&self) -> impl Iterator<Item = Sight> + '_ {
+    fn observations(&self) -> impl Iterator<Item = Sight> + '_ {
         self.own.iter().chain(&self.others).copied()
     }
 }
 
-/// A head is silent: the planner looks at all members of its group.
-pub(in crate::logic::direct) fn suspect(
+/// Handles a report that a head is silent: the planner probes all members of its group.
+pub(in crate::logic::direct) fn on_head_silent(
     state: &mut DirectState,
     now: Millis,
     head: &InstanceId,
@@ -74,37 +74,43 @@
     }
     let seat = state.endpoints.get(head).and_then(|v| v.entry.seat.clone());
     let Some(group) = seat.map(|s| s.group) else {
-        return at(state, now, head, out);
+        return send_if_due(state, now, head, out);
     };
-    for id in members(state, &group) {
-        at(state, now, &id, out);
+    for id in group_members(state, &group) {
+        send_if_due(state, now, &id, out);
     }
 }
 
-fn members(state: &DirectState, group: &Arc<str>) -> Vec<InstanceId> {
-    let inside = |v: &crate::logic::direct::EndpointView| {
+fn group_members(state: &DirectState, group: &Arc<str>) -> Vec<InstanceId> {
+    let is_member = |v: &crate::logic::direct::EndpointView| {
         v.entry.seat.as_ref().is_some_and(|s| s.group == *group)
     };
-    let found = state.endpoints.iter().filter(|(_, v)| inside(v));
+    let found = state.endpoints.iter().filter(|(_, v)| is_member(v));
     found.map(|(id, _)| id.clone()).collect()
 }
 
-/// Looks at everyone who has a place in a group: this planner knows nothing yet.
-pub(super) fn all(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let seated = state
+/// Probes every endpoint with a seat in a group: a new planner doesn't know yet which of
+/// them are lost.
+pub(super) fn send_to_seated(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let with_seat = state
         .endpoints
         .iter()
-        .filter(|(_, v)| v.entry.seat.is_some() && survey::planned(state, v));
-    let seated: Vec<_> = seated.map(|(id, _)| id.clone()).collect();
-    for id in seated {
-        at(state, now, &id, out);
+        .filter(|(_, v)| v.entry.seat.is_some() && survey::is_planned(state, v));
+    let with_seat: Vec<_> = with_seat.map(|(id, _)| id.clone()).collect();
+    for id in with_seat {
+        send_if_due(state, now, &id, out);
     }
 }
 
-/// Looks at an endpoint, unless that was done just now.
-pub(super) fn at(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
-    let look = state.plan.looks.entry(id.clone()).or_default();
-    if look.pending || (look.since > 0 && now < look.since + AGAIN_MS) {
+/// Probes an endpoint, unless a probe is pending or the last one was sent just now.
+pub(super) fn send_if_due(
+    state: &mut DirectState,
+    now: Millis,
+    id: &InstanceId,
+    out: &mut Vec<Effect>,
+) {
+    let probe = state.plan.looks.entry(id.clone()).or_default();
+    if probe.pending || (probe.since > 0 && now < probe.since + PROBE_INTERVAL_MS) {
         return;
     }
     send(state, now, id, out);
@@ -114,17 +120,17 @@
     let Some(addr) = state.endpoints.get(id).map(|v| v.entry.addr) else {
         return;
     };
-    let look = state.plan.looks.entry(id.clone()).or_default();
-    look.pending = true;
-    look.since = now;
+    let probe = state.plan.looks.entry(id.clone()).or_default();
+    probe.pending = true;
+    probe.since = now;
     out.push(Effect::Direct(DirectEffect::Look {
         id: id.clone(),
         addr,
     }));
 }
 
-/// An endpoint was looked at.
-pub(in crate::logic::direct) fn looked(
+/// Handles the result of a probe.
+pub(in crate::logic::direct) fn on_probe_result(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -136,14 +142,14 @@
     }
     let since = state.plan.looks.get(id).map_or(now, |l| l.since);
     endpoints::reported(state, now, id, &result, out);
-    let sight = endpoints::sight(state, now, id, &result, since);
-    let look = state.plan.looks.entry(id.clone()).or_default();
-    look.pending = false;
-    look.own = Some(sight);
+    let observation = endpoints::sight(state, now, id, &result, since);
+    let probe = state.plan.looks.entry(id.clone()).or_default();
+    probe.pending = false;
+    probe.own = Some(observation);
     match result {
         LookResult::Alive { seat, .. } => {
-            *look = Look {
-                since: look.since,
+            *probe = Look {
+                since: probe.since,
                 ..Look::default()
             };
             if state.plan.lost.remove(id).is_some() {
@@ -151,25 +157,25 @@
                     Note::new(NoteCode::EndpointFound).with("endpoint", id),
                 ));
             }
-            // Its place in a group is the list's to say, as a report may be older;
-            // but what it says of a group that is being formed is new.
+            // Seats are taken from the list, as the report may be older than it; but a
+            // reported seat in a group that is being formed may be newer than the list.
             if let Some(seat) = seat {
-                form::told(state, id, &seat);
+                form::on_seat_report(state, id, &seat);
             }
-            calm(state, now, id);
+            clear_silence(state, now, id);
         }
         LookResult::Refused | LookResult::Replaced => {
-            ask(state, now, id, out);
-            lose(state, now, id, "refused", out);
+            ask_routers(state, now, id, out);
+            mark_lost(state, now, id, "refused", out);
         }
-        // What it sent since then is as good as an answer.
-        LookResult::Silent if sight == Sight::Alive => look.misses = 0,
+        // Data that the endpoint has sent since the probe counts as an answer.
+        LookResult::Silent if observation == Sight::Alive => probe.misses = 0,
         LookResult::Silent => {
-            look.misses += 1;
-            let enough = look.misses >= MISSES;
-            ask(state, now, id, out);
-            if enough {
-                lose(state, now, id, "silent", out);
+            probe.misses += 1;
+            let is_lost = probe.misses >= MAX_MISSES;
+            ask_routers(state, now, id, out);
+            if is_lost {
+                mark_lost(state, now, id, "silent", out);
             } else {
                 send(state, now, id, out);
             }
@@ -177,46 +183,51 @@
     }
 }
 
-/// Asks other routers about a head that is missed, once in a while.
-fn ask(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
+/// Asks other routers about a head that didn't answer, unless they were asked just now.
+fn ask_routers(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
-    let head = seat.is_some_and(|s| s.rank == 0);
-    let look = state.plan.looks.get(id);
-    let due = look.is_some_and(|l| l.asked_at == 0 || now >= l.asked_at + ASK_AGAIN_MS);
-    if !head || !due {
+    let is_head = seat.is_some_and(|s| s.rank == 0);
+    let probe = state.plan.looks.get(id);
+    let due = probe.is_some_and(|l| l.asked_at == 0 || now >= l.asked_at + ASK_INTERVAL_MS);
+    if !is_head || !due {
         return;
     }
-    let asked = peers::ask(state, id, ASKED, out);
-    if let Some(look) = state.plan.looks.get_mut(id) {
-        look.asked = asked;
-        look.asked_at = now;
-        look.others.clear();
+    let asked = peers::ask(state, id, MAX_ASKED_ROUTERS, out);
+    if let Some(probe) = state.plan.looks.get_mut(id) {
+        probe.asked = asked;
+        probe.asked_at = now;
+        probe.others.clear();
     }
 }
 
-/// Another router has looked.
-pub(in crate::logic::direct) fn seen(state: &mut DirectState, number: u64, sight: Sight) {
-    for look in state.plan.looks.values_mut() {
-        if let Some(at) = look.asked.iter().position(|n| *n == number) {
-            look.asked.swap_remove(at);
-            look.others.push(sight);
+/// Handles another router's observation of an endpoint.
+pub(in crate::logic::direct) fn on_observation(
+    state: &mut DirectState,
+    number: u64,
+    observation: Sight,
+) {
+    for probe in state.plan.looks.values_mut() {
+        if let Some(at) = probe.asked.iter().position(|n| *n == number) {
+            probe.asked.swap_remove(at);
+            probe.others.push(observation);
         }
     }
 }
 
-/// Whether other routers agree that an endpoint is over.
-pub(super) fn agreed(state: &DirectState, id: &InstanceId) -> bool {
-    let needed = ASKED.min(state.peers.len()).max(1);
-    let look = state.plan.looks.get(id);
-    look.is_some_and(|l| l.others.len() >= needed && l.over())
+/// Whether enough other routers have answered, and the observations show that an endpoint
+/// has stopped. With no other routers it is never confirmed.
+pub(super) fn is_stop_confirmed(state: &DirectState, id: &InstanceId) -> bool {
+    let needed = MAX_ASKED_ROUTERS.min(state.peers.len()).max(1);
+    let probe = state.plan.looks.get(id);
+    probe.is_some_and(|l| l.others.len() >= needed && l.is_stopped())
 }
 
-/// Whether any router knows that a head which is missed still works.
-pub(super) fn works(state: &DirectState, id: &InstanceId) -> bool {
-    state.plan.looks.get(id).is_some_and(Look::alive)
+/// Whether any router finds an endpoint alive.
+pub(super) fn is_found_alive(state: &DirectState, id: &InstanceId) -> bool {
+    state.plan.looks.get(id).is_some_and(Look::is_alive)
 }
 
-fn lose(
+fn mark_lost(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -229,28 +240,29 @@
     view.silent.get_or_insert(now);
     let beat_age = now.saturating_sub(view.beat_at);
     if state.plan.lost.insert(id.clone(), now).is_none() {
-        cover::died(state, now);
-        let note = Note::new(NoteCode::EndpointLost)
+        cover::on_endpoint_lost(state, now);
+        let event = Note::new(NoteCode::EndpointLost)
             .with("endpoint", id)
             .with("why", why)
             .with("beat_age", beat_age);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
         state.plan.look_at = now;
     }
 }
 
-/// Where every member of a silent head's group answers, the group is only slow.
-fn calm(state: &mut DirectState, now: Millis, id: &InstanceId) {
+/// Clears the silence of a group's members once all of them have just answered a probe:
+/// the group is slow, but works. The silence counts for their usual longest pause.
+fn clear_silence(state: &mut DirectState, now: Millis, id: &InstanceId) {
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.clone());
     let Some(group) = seat.map(|s| s.group) else {
         return;
     };
-    let members = members(state, &group);
-    let answered = |id: &InstanceId| {
-        let look = state.plan.looks.get(id);
-        look.is_some_and(|l| !l.pending && l.misses == 0 && now < l.since + AGAIN_MS)
+    let members = group_members(state, &group);
+    let has_answered = |id: &InstanceId| {
+        let probe = state.plan.looks.get(id);
+        probe.is_some_and(|l| !l.pending && l.misses == 0 && now < l.since + PROBE_INTERVAL_MS)
     };
-    if !members.iter().all(answered) {
+    if !members.iter().all(has_answered) {
         return;
     }
     for id in &members {
@@ -262,26 +274,26 @@
     }
 }
 
-/// Looks again at endpoints that were lost and beat on.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Probes lost endpoints again that have sent heartbeats since.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let endpoints = &state.endpoints;
     state.plan.lost.retain(|id, _| endpoints.contains_key(id));
     state.plan.looks.retain(|id, _| endpoints.contains_key(id));
-    let beats = |id: &InstanceId, since: Millis| {
+    let has_heartbeat = |id: &InstanceId, since: Millis| {
         let view = endpoints.get(id);
         view.is_some_and(|v| v.listed && v.beat_at > since)
     };
-    let again: Vec<InstanceId> = state
+    let to_probe: Vec<InstanceId> = state
         .plan
         .lost
         .iter()
-        .filter(|(id, since)| beats(id, **since))
+        .filter(|(id, since)| has_heartbeat(id, **since))
         .map(|(id, _)| id.clone())
         .collect();
-    for id in again {
+    for id in to_probe {
         let since = state.plan.looks.get(&id).map_or(0, |l| l.since);
-        if now >= since + LOST_AGAIN_MS {
-            at(state, now, &id, out);
+        if now >= since + LOST_PROBE_INTERVAL_MS {
+            send_if_due(state, now, &id, out);
         }
     }
 }
--- a/src/logic/direct/plan/mod.rs
+++ b/src/logic/direct/plan/mod.rs
@@ -1,13 +1,17 @@
-//! The planner's duty: which endpoints form which groups.
+//! The planner: decides which endpoints form which groups.
 //!
-//! One router holds it at a time, by a lease in the key-value service. What
-//! groups there are is read from the list, never from memory of an earlier
-//! planner, so that whoever takes over goes on where the other one was.
-//! `survey` reads the groups, `inspect` finds those that need something,
-//! `form` and `retire` carry changes out, `place` and `fill` decide what to
-//! form, `trade` what to give up for others, `stage` what is loaded in advance.
-//! `value` says what groups are worth by what callers ask for, `cover` what a load
-//! adds; `idle` tells who serves in no group, and why.
+//! One router at a time is the planner, by a lease in the key-value service. The
+//! existing groups are read from the endpoint list and not from any state of an
+//! earlier planner, so that a new planner can continue its predecessor's work.
+//!
+//! `duty` keeps the planner lease and `tend` runs the periodic planning pass.
+//! `survey` reads the groups from the list, `look` probes endpoints that may be lost,
+//! `inspect` finds groups that need a repair, an orderly end or their next step, and
+//! `form` and `retire` form and end groups by the orders that `order` sends.
+//! `place` and `fill` decide which groups to form, `trade` which open group to end in
+//! favour of others, and `stage` which models to load in advance. `value` estimates
+//! what groups are worth given the demand, `cover` what a load in advance adds.
+//! `idle` reports endpoints that serve in no group, with the reason.
 
 mod cover;
 mod duty;
@@ -48,9 +52,9 @@
 pub use plan_state::PlanState;
 pub use staging::Staging;
 
-pub(super) use duty::{answered, changed, restored, unwatched};
-pub(super) use form::corrected;
-pub(super) use look::{looked, seen, suspect};
-pub(super) use order::ordered;
-pub(super) use retire::{given_up, started_again};
-pub(super) use tend::tend;
+pub(super) use duty::{on_store_reply, on_store_restored, on_watch_changes, on_watch_lost};
+pub(super) use form::apply_known_seat;
+pub(super) use look::{on_head_silent, on_observation, on_probe_result};
+pub(super) use order::on_order_result;
+pub(super) use retire::{is_in_retired_group, on_endpoint_restarted};
+pub(super) use tend::on_tick;
--- a/src/logic/direct/plan/model_load.rs
+++ b/src/logic/direct/plan/model_load.rs
@@ -1,95 +1,98 @@
-//! How much of what a model is asked for so many groups of it serve in time.
+//! Estimates which part of a model's demand a number of its groups serve in time.
 //!
-//! An engine works in passes: it reads the prompts that have come, then every request
-//! that writes gets some tokens. A pass takes as long as that reading and writing, so the
-//! more comes the longer it takes, and the more comes within it. What is late follows
-//! from how long passes are against the pauses that callers bear, not from how busy a
-//! group is: at the same use a model with long prompts is late far more often.
+//! An engine works in passes: it reads the prompts that have arrived, then generates some
+//! tokens for every running request. A pass takes as long as that work, so under higher
+//! load passes last longer, and more requests arrive within each. Whether answers are late
+//! depends on the length of passes compared with the pauses that callers tolerate, not on
+//! utilization alone: at equal utilization a model with long prompts is late far more often.
 
-/// Part served from which on a group more is reckoned with only where it adds something:
-/// below it a few groups may add nothing that more of them do.
-const NEARLY_ALL: f64 = 0.9;
+/// Part of the demand served from which on further groups are only evaluated while they add
+/// something. Below it a few more groups may add nothing although many more do.
+const NEARLY_ALL_FACTOR: f64 = 0.9;
 
-/// What one more group must add there, as a part of what is asked for.
-const LEAST_GAIN: f64 = 1e-4;
+/// What further groups must add from there on, as a part of the demand.
+const MIN_GAIN_FACTOR: f64 = 1e-4;
 
-/// Numbers of groups that are reckoned one by one: the work of a look should not grow with
-/// the fleet where a planner has a fifth of a core. A choice; not measured apart.
-const POINTS: usize = 64;
+/// Largest number of points of the curve that are computed: the work of a planning pass
+/// should not grow with the fleet, as a planner may have only a fifth of a core.
+const MAX_POINTS: usize = 64;
 
-/// Part of the requests, in steps, that a group may be given: what is more is refused.
-/// Routers limit what they send to a head in the same way.
-const STEPS: u32 = 10;
+/// Steps in which the admitted part of the requests is varied; the rest is refused. Routers
+/// limit what they send to a head in the same way.
+const ADMISSION_STEPS: u32 = 10;
 
-/// Use of a group beyond which passes grow without end.
-const FULL_USE: f64 = 0.95;
+/// Utilization of a group from which on it is taken to serve nothing in time, as passes
+/// grow without bound.
+const MAX_UTILIZATION_FACTOR: f64 = 0.95;
 
-/// Credit of an answer that is late, against one in time: what operators give today.
-const LATE: f64 = 0.25;
+/// Credit of a late answer relative to one in time, as operators count it.
+const LATE_CREDIT_FACTOR: f64 = 0.25;
 
-/// Passes that a request waits on average until its first token: half of the one that
-/// runs, and its own.
-const PASSES_TO_FIRST: f64 = 1.5;
+/// Passes until a request's first token, on average: half of the running pass, and the
+/// request's own.
+const PASSES_TO_FIRST_TOKEN: f64 = 1.5;
 
-/// What one model is asked for in a second, and how its groups work.
+/// Demand for one model, and how its groups work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ModelLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt, in tokens.
     pub prompt: f64,
-    /// Mean square of a prompt's tokens.
+    /// Mean square of a prompt's length, in tokens squared.
     pub square: f64,
-    /// Mean tokens of an answer.
+    /// Mean length of an answer, in tokens.
     pub answer: f64,
-    /// Longest pause that callers bear, in milliseconds.
+    /// Longest pause within an answer that callers tolerate, in milliseconds.
     pub pause_ms: f64,
-    /// Time within which an answer should begin, in milliseconds.
+    /// Time within which an answer should start, in milliseconds.
     pub first_ms: f64,
-    /// Milliseconds for reading one token.
+    /// Time to read one prompt token, in milliseconds.
     pub read_ms: f64,
     /// Token steps of one pass.
     pub stride: f64,
-    /// Milliseconds of one step.
+    /// Time of one token step, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each request that writes adds to a step.
+    /// Time that each running request adds to a step, in milliseconds.
     pub sequence_ms: f64,
-    /// Requests that a group works on at once.
+    /// Requests that a group runs at once.
     pub slots: f64,
-    /// Losses of a group in a second.
+    /// Losses of a member of one group per second.
     pub losses: f64,
     /// Seconds until a group that has lost a member serves again.
     pub repair_s: f64,
 }
 
 impl ModelLoad {
-    /// Part of what is asked for that so many groups serve in time, late answers counted
-    /// by their credit.
+    /// Part of the demand that this number of groups serves in time, with late answers counted
+    /// by their credit and groups under repair left out.
     pub(super) fn served(&self, groups: usize) -> f64 {
-        let there = groups as f64 / (1.0 + self.losses * self.repair_s);
-        if there <= 0.0 {
+        let available = groups as f64 / (1.0 + self.losses * self.repair_s);
+        if available <= 0.0 {
             return 0.0;
         }
-        let with = |step: u32| {
-            let part = f64::from(step) / f64::from(STEPS);
-            part * self.credit(self.requests * part / there)
+        let with_admission = |step: u32| {
+            let part = f64::from(step) / f64::from(ADMISSION_STEPS);
+            part * self.credit(self.requests * part / available)
         };
-        (1..=STEPS).map(with).fold(0.0, f64::max)
+        (1..=ADMISSION_STEPS)
+            .map(with_admission)
+            .fold(0.0, f64::max)
     }
 
-    /// What so many groups serve, from none up to as many as add anything. Where there may
-    /// be more than `POINTS`, those between two points are interpolated.
-    pub(super) fn curve(&self, most: usize) -> Vec<f64> {
-        let step = most.div_ceil(POINTS).max(1);
+    /// The part served by number of groups, from none up to as many as add anything, at most
+    /// `max`. If `max` exceeds `MAX_POINTS`, values between computed points are interpolated.
+    pub(super) fn curve(&self, max: usize) -> Vec<f64> {
+        let step = max.div_ceil(MAX_POINTS).max(1);
         let mut curve = vec![0.0];
         let mut last = 0.0;
-        while curve.len() <= most {
-            let groups = (curve.len() - 1 + step).min(most);
+        while curve.len() <= max {
+            let groups = (curve.len() - 1 + step).min(max);
             let served = self.served(groups);
             let steps = groups + 1 - curve.len();
-            let between = |n: usize| last + (served - last) * n as f64 / steps as f64;
-            curve.extend((1..=steps).map(between));
-            if last > NEARLY_ALL && served - last < LEAST_GAIN {
+            let interpolated = |n: usize| last + (served - last) * n as f64 / steps as f64;
+            curve.extend((1..=steps).map(interpolated));
+            if last > NEARLY_ALL_FACTOR && served - last < MIN_GAIN_FACTOR {
                 break;
             }
             last = served;
@@ -97,36 +100,37 @@
         curve
     }
 
-    /// Mean credit of a request where one group gets so many in a second.
+    /// Mean credit of a request if one group gets `rate` requests per second.
     fn credit(&self, rate: f64) -> f64 {
-        let a_ms = rate / 1_000.0;
-        let reading = self.prompt * self.read_ms;
-        let used = a_ms * (reading + self.answer * self.sequence_ms);
-        if used >= FULL_USE {
+        let rate_per_ms = rate / 1_000.0;
+        let read_ms = self.prompt * self.read_ms;
+        let utilization = rate_per_ms * (read_ms + self.answer * self.sequence_ms);
+        if utilization >= MAX_UTILIZATION_FACTOR {
             return 0.0;
         }
         let stride = self.stride.max(1.0);
-        let pass = stride * self.step_ms / (1.0 - used);
+        let pass_ms = stride * self.step_ms / (1.0 - utilization);
         let passes = self.answer / stride;
-        let writing = a_ms * passes * pass;
-        // Variance of the time that reading takes within one pass.
-        let spread = a_ms * pass * self.square * self.read_ms.powi(2);
-        let paused = exceeds(self.pause_ms - pass, spread, reading);
-        let first = self.first_ms - PASSES_TO_FIRST * pass - reading;
-        let begins = exceeds(first, PASSES_TO_FIRST * spread, reading);
-        let full = exceeds(self.slots - writing, writing, 1.0);
-        let lasts = (passes + PASSES_TO_FIRST) * pass / 1_000.0;
-        let stays = (-self.losses * lasts).exp();
-        let in_time = (1.0 - paused).powf(passes) * (1.0 - begins) * (1.0 - full) * stays;
-        in_time + LATE * (1.0 - in_time)
+        let running = rate_per_ms * passes * pass_ms;
+        // Variance of the time spent on reading within one pass.
+        let variance = rate_per_ms * pass_ms * self.square * self.read_ms.powi(2);
+        let pause_late = tail_bound(self.pause_ms - pass_ms, variance, read_ms);
+        let first_slack_ms = self.first_ms - PASSES_TO_FIRST_TOKEN * pass_ms - read_ms;
+        let start_late = tail_bound(first_slack_ms, PASSES_TO_FIRST_TOKEN * variance, read_ms);
+        let slots_full = tail_bound(self.slots - running, running, 1.0);
+        let duration_s = (passes + PASSES_TO_FIRST_TOKEN) * pass_ms / 1_000.0;
+        let group_lasts = (-self.losses * duration_s).exp();
+        let in_time =
+            (1.0 - pause_late).powf(passes) * (1.0 - start_late) * (1.0 - slots_full) * group_lasts;
+        in_time + LATE_CREDIT_FACTOR * (1.0 - in_time)
     }
 }
 
-/// Bound on the chance that a sum of many parts exceeds its mean by `by`, with the
-/// sum's variance and the size of one part (Bernstein's inequality).
-fn exceeds(by: f64, variance: f64, part: f64) -> f64 {
-    if by <= 0.0 {
+/// Bound on the probability that a sum of many terms exceeds its mean by `margin`, from the
+/// sum's variance and the size of one term (Bernstein's inequality).
+fn tail_bound(margin: f64, variance: f64, term: f64) -> f64 {
+    if margin <= 0.0 {
         return 1.0;
     }
-    (-by * by / (2.0 * (variance + part * by / 3.0)).max(f64::EPSILON)).exp()
+    (-margin * margin / (2.0 * (variance + term * margin / 3.0)).max(f64::EPSILON)).exp()
 }
--- a/src/logic/direct/plan/order.rs
+++ b/src/logic/direct/plan/order.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints and what came of them.
+//! Orders to endpoints, and their results.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{InstanceId, Millis};
 
-/// What an order was given for.
+/// The purpose of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OrderUse {
     /// A member joins this group.
@@ -18,16 +18,16 @@
     Close(Arc<str>),
     /// The head leaves this group.
     Leave(Arc<str>),
-    /// A member leaves this group, so that its head breaks.
+    /// A member leaves this group, so that the head, which can't be reached, breaks.
     Break(Arc<str>, InstanceId),
-    /// This endpoint leaves a group that is over.
+    /// This endpoint leaves a group that has ended.
     Free(InstanceId),
     /// This endpoint loads a model to its host.
     Stage(InstanceId),
 }
 
 impl OrderUse {
-    /// Its name in the metrics.
+    /// Label in the metrics.
     fn name(&self) -> &'static str {
         match self {
             OrderUse::Join(_) => "join",
@@ -41,12 +41,12 @@
     }
 }
 
-/// Gives an order to an endpoint.
-pub(super) fn give(
+/// Sends an order to an endpoint and remembers its purpose until the result comes.
+pub(super) fn send(
     state: &mut DirectState,
     id: &InstanceId,
     what: GroupStep,
-    used: OrderUse,
+    purpose: OrderUse,
     out: &mut Vec<Effect>,
 ) {
     let Some(addr) = state.endpoints.get(id).map(|v| v.entry.addr) else {
@@ -54,7 +54,7 @@
     };
     let order = state.number();
     let fence = state.plan.duty.fence;
-    state.plan.orders.insert(order, used);
+    state.plan.orders.insert(order, purpose);
     out.push(Effect::Direct(DirectEffect::Order {
         order,
         id: id.clone(),
@@ -63,41 +63,48 @@
     }));
 }
 
-/// Whether an order to leave shows that its group is over for the endpoint. One
-/// that is outdated shows only that another planner gives orders now.
-fn left(result: OrderResult) -> bool {
+/// Whether the result of an order to leave shows that the endpoint has no seat in the group
+/// any more. An outdated order shows only that another planner gives orders now.
+fn has_left(result: OrderResult) -> bool {
     !matches!(result, OrderResult::Unanswered | OrderResult::Outdated)
 }
 
-/// An order has ended.
-pub(in crate::logic::direct) fn ordered(
+/// Handles the result of an order.
+pub(in crate::logic::direct) fn on_order_result(
     state: &mut DirectState,
     now: Millis,
     order: u64,
     result: OrderResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some(used) = state.plan.orders.remove(&order) else {
+    let Some(purpose) = state.plan.orders.remove(&order) else {
         return;
     };
-    let counted = (used.name(), result.name());
-    *state.plan.counts.entry(counted).or_default() += 1;
-    let taken = matches!(result, OrderResult::Begun | OrderResult::Done);
-    if !taken {
-        let note = Note::new(NoteCode::OrderFailed)
-            .with("order", format!("{used:?}"))
+    let labels = (purpose.name(), result.name());
+    *state.plan.counts.entry(labels).or_default() += 1;
+    let is_accepted = matches!(result, OrderResult::Begun | OrderResult::Done);
+    if !is_accepted {
+        let event = Note::new(NoteCode::OrderFailed)
+            .with("order", format!("{purpose:?}"))
             .with("result", format!("{result:?}"));
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
-    match used {
+    match purpose {
         OrderUse::Join(group) if result == OrderResult::Outdated || result == OrderResult::Gone => {
             if let Some(forming) = state.plan.forming.remove(&group) {
-                form::give_up(state, now, &group, &forming, "a member refuses", out);
+                form::give_up(
+                    state,
+                    now,
+                    &group,
+                    &forming,
+                    "a member refused to join or is gone",
+                    out,
+                );
             }
         }
-        OrderUse::Break(group, _) if left(result) => retire::broken_off(state, now, &group),
-        OrderUse::Leave(group) if left(result) => retire::over(state, group),
-        OrderUse::Stage(id) if !taken => {
+        OrderUse::Break(group, _) if has_left(result) => retire::on_member_left(state, now, &group),
+        OrderUse::Leave(group) if has_left(result) => retire::on_head_left(state, group),
+        OrderUse::Stage(id) if !is_accepted => {
             state.plan.staging.remove(&id);
         }
         _ => {}
--- a/src/logic/direct/plan/place.rs
+++ b/src/logic/direct/plan/place.rs
@@ -1,111 +1,115 @@
+//! The initial placement: how many groups of each model each domain should have.
+
 use std::collections::BTreeMap;
 
 use super::mix::mixes;
 
-/// Most rounds of improvement.
-const ROUNDS: usize = 12;
+/// Largest number of rounds of improvement over all domains.
+const MAX_ROUNDS: usize = 12;
 
 /// Part of the wanted capacity at which a model is half as useful as it can be.
-const HALF: f64 = 0.35;
+const HALF_USE_FACTOR: f64 = 0.35;
 
-/// Worth of a spare that fits, against one whole model.
-const SPARE: f64 = 0.02;
+/// Worth of a domain's first spare; the capacity of all models together is worth at most 1.
+const SPARE_WORTH: f64 = 0.02;
 
-/// Spares of one domain that are worth anything. Beyond them a small group gives its
-/// members up where one is needed.
-const USEFUL_SPARES: usize = 2;
+/// Spares of one domain that have any worth. If more are needed, a small group ends to
+/// provide them.
+const MAX_USEFUL_SPARES: usize = 2;
 
-/// What a second model in a domain adds: a group of one can be given up for the other
-/// where that one has lost a member.
-const VARIED: f64 = 0.015;
+/// Worth of each model in a domain beyond the first: a group of one model can end so that a
+/// group of another that has lost a member is complete again.
+const FURTHER_MODEL_WORTH: f64 = 0.015;
 
-/// What placement has to know of a model.
+/// Size and share of a model for the placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlaceModel {
     /// Instances of one group.
     pub size: usize,
-    /// Part of all instances that its work needs, in thousandths.
+    /// Part of all instances that it should get, in thousandths.
     pub share: u64,
 }
 
-/// Instances by domain, and the models to place there.
+/// Input of the placement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlaceInput {
-    /// Instances of each domain.
+    /// Number of instances of each domain.
     pub domains: Vec<usize>,
-    /// Models.
+    /// The models to place.
     pub models: Vec<PlaceModel>,
 }
 
-/// How many groups of each model should stand in each domain.
+/// The number of groups of each model that each domain should have, by domain and model.
 ///
-/// Weighs capacity by model as it is and after the loss of any one domain, room
-/// for repairs, and that groups of a domain with several models can be traded.
+/// Maximizes the capacity of each model, both with all domains and after the loss of any one
+/// of them, together with the worth of spares for repairs and of domains with several models,
+/// whose groups can be traded. Improves one domain at a time until none can be improved.
 pub fn place(input: &PlaceInput) -> Vec<Vec<usize>> {
     let sizes: Vec<usize> = input.models.iter().map(|m| m.size).collect();
-    let mut fits: BTreeMap<usize, Vec<Vec<usize>>> = BTreeMap::new();
+    let mut mixes_by_size: BTreeMap<usize, Vec<Vec<usize>>> = BTreeMap::new();
     for n in &input.domains {
-        fits.entry(*n).or_insert_with(|| mixes(*n, &sizes));
+        mixes_by_size.entry(*n).or_insert_with(|| mixes(*n, &sizes));
     }
     let mut chosen = vec![vec![0; input.models.len()]; input.domains.len()];
     let mut best = worth(input, &chosen);
-    for _ in 0..ROUNDS {
-        let mut better = false;
+    for _ in 0..MAX_ROUNDS {
+        let mut has_improved = false;
         for d in 0..chosen.len() {
-            for mix in &fits[&input.domains[d]] {
+            for mix in &mixes_by_size[&input.domains[d]] {
                 let before = std::mem::replace(&mut chosen[d], mix.clone());
                 let now = worth(input, &chosen);
                 if now > best + 1e-9 {
                     best = now;
-                    better = true;
+                    has_improved = true;
                 } else {
                     chosen[d] = before;
                 }
             }
         }
-        if !better {
+        if !has_improved {
             break;
         }
     }
     chosen
 }
 
-/// Worth of a placement; only differences count.
+/// Worth of a placement, for comparison with others.
 fn worth(input: &PlaceInput, chosen: &[Vec<usize>]) -> f64 {
-    let whole = capacity(input, chosen, None);
-    let lost: f64 = (0..chosen.len())
+    let full = capacity(input, chosen, None);
+    let after_loss: f64 = (0..chosen.len())
         .map(|d| capacity(input, chosen, Some(d)))
         .sum();
     let scenarios = chosen.len() as f64;
     let domains: f64 = chosen
         .iter()
         .zip(&input.domains)
-        .map(|(mix, n)| room(input, mix, *n))
+        .map(|(mix, n)| domain_worth(input, mix, *n))
         .sum();
-    (whole * scenarios + lost) / (2.0 * scenarios) + domains / scenarios
+    (full * scenarios + after_loss) / (2.0 * scenarios) + domains / scenarios
 }
 
+/// Worth of the capacity of all models, without the groups of one domain if given.
 fn capacity(input: &PlaceInput, chosen: &[Vec<usize>], without: Option<usize>) -> f64 {
     let all: usize = input.domains.iter().sum();
     let mut sum = 0.0;
     for (m, model) in input.models.iter().enumerate() {
-        let there = chosen
+        let remaining = chosen
             .iter()
             .enumerate()
             .filter(|(d, _)| Some(*d) != without);
-        let groups: usize = there.map(|(_, mix)| mix[m]).sum();
+        let groups: usize = remaining.map(|(_, mix)| mix[m]).sum();
         let share = model.share as f64 / 1_000.0;
         let wanted = all as f64 * share;
         let ratio = (groups * model.size) as f64 / wanted.max(1.0);
-        sum += share * ratio / (ratio + HALF);
+        sum += share * ratio / (ratio + HALF_USE_FACTOR);
     }
     sum
 }
 
-/// Worth of a domain's spares, and of having more than one model there.
-fn room(input: &PlaceInput, mix: &[usize], n: usize) -> f64 {
+/// Worth of a domain's spares, and of its models beyond the first.
+fn domain_worth(input: &PlaceInput, mix: &[usize], n: usize) -> f64 {
     let used: usize = mix.iter().zip(&input.models).map(|(c, m)| c * m.size).sum();
-    let kinds = mix.iter().filter(|c| **c > 0).count();
-    let spares = n.saturating_sub(used).min(USEFUL_SPARES) as f64;
-    SPARE * spares.sqrt() + VARIED * kinds.saturating_sub(1) as f64
+    let models = mix.iter().filter(|c| **c > 0).count();
+    let spares = n.saturating_sub(used).min(MAX_USEFUL_SPARES) as f64;
+    SPARE_WORTH * spares.sqrt() + FURTHER_MODEL_WORTH * models.saturating_sub(1) as f64
 }
--- a/src/logic/direct/plan/plan_state.rs
+++ b/src/logic/direct/plan/plan_state.rs
@@ -6,66 +6,66 @@
 use crate::observe::LabelledCount;
 use crate::types::{GroupSeat, InstanceId, Millis};
 
-/// What a planner knows beside the list.
+/// State of the planner beside the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlanState {
-    /// The planner's lease.
+    /// The planner lease.
     pub duty: Duty,
-    /// Whether this router has had the duty at the last look.
+    /// Whether this router held the planner lease at the last tick.
     pub held: bool,
-    /// When the list is read whole next, while it is older than the duty.
+    /// When the whole list may be requested again, while it is older than the planner lease.
     pub read_at: Millis,
-    /// When the groups are looked at next.
+    /// When the next planning pass is due.
     pub look_at: Millis,
     /// Groups that are being formed, by name.
     pub forming: BTreeMap<Arc<str>, Forming>,
-    /// Groups that are being given up, by name.
+    /// Groups that are ending, by name.
     pub ending: BTreeMap<Arc<str>, Ending>,
-    /// Groups that are over; whoever still has a place in them is free.
+    /// Groups that have ended; endpoints that still have a seat in them are free.
     pub ended: BTreeSet<Arc<str>>,
-    /// When a group was first seen that isn't complete.
+    /// Incomplete groups by name, with the time since when each is known to be incomplete.
     pub partial: BTreeMap<Arc<str>, Millis>,
-    /// Endpoints that were told to load a model.
+    /// Endpoints that were ordered to load a model in advance.
     pub staging: BTreeMap<InstanceId, Staging>,
-    /// Endpoints that don't answer, since when.
+    /// Lost endpoints, with the time of the loss.
     pub lost: BTreeMap<InstanceId, Millis>,
-    /// Endpoints that serve in no group, while this router plans.
+    /// Free endpoints, while this router is the planner.
     pub idle: BTreeMap<InstanceId, Idle>,
     /// When the needs of models are logged next.
     pub needs_at: Millis,
-    /// Looks at endpoints.
+    /// Probes of endpoints.
     pub looks: BTreeMap<InstanceId, Look>,
-    /// Places, with their model, in groups that this planner has opened and the list
-    /// doesn't show yet.
+    /// Seats, with their model, in groups that this planner has opened, while the list doesn't
+    /// show them yet.
     pub seats: BTreeMap<InstanceId, (GroupSeat, Arc<str>)>,
-    /// Orders that haven't been answered.
+    /// Purposes of the orders that await a result, by order number.
     pub orders: BTreeMap<u64, OrderUse>,
-    /// Orders by what they were for and what came of them, in this life of the process.
+    /// Number of orders by purpose and result, since this process started.
     pub counts: BTreeMap<(&'static str, &'static str), u64>,
-    /// Loads from the weight store that may begin.
+    /// Budget of loads from the weight store.
     pub budget: LoadBudget,
-    /// When endpoints of engines were lost lately.
+    /// Times of recent losses of endpoints.
     pub deaths: VecDeque<Millis>,
-    /// When a group was last traded for others.
+    /// When a group was last traded.
     pub traded: Millis,
     /// The group that was last traded in each service and domain.
     pub trades: BTreeMap<Place, Arc<str>>,
-    /// The last place in which trades were weighed; none once all have been.
+    /// The last place for which trades were weighed; none if the next pass starts with the first.
     pub weighed: Option<Place>,
-    /// Groups named so far under this fence.
+    /// Epochs given out so far by this router.
     pub named: u64,
-    /// Endpoints of engines at the last look, and when their number last changed.
+    /// Number of endpoints of engines at the last planning pass, and when it last changed.
     pub count: (usize, Millis),
-    /// Most endpoints of engines that were there at once.
+    /// Largest number of endpoints of engines so far.
     pub most: usize,
-    /// Whether a caller has been seen since the start of this process.
+    /// Whether any router is known to have had a caller since this process started.
     pub traffic: bool,
     /// Whether the whole system starts for the first time.
     pub first: bool,
 }
 
 impl PlanState {
-    /// Orders given so far, for the metrics.
+    /// Number of orders by purpose and result, for the metrics.
     pub fn order_counts(&self) -> impl Iterator<Item = LabelledCount> + '_ {
         self.counts
             .iter()
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -1,4 +1,4 @@
-//! Gives groups up: nobody joins anew before the head has stopped.
+//! Ends groups: no member may join another group before the head has stopped.
 
 use std::sync::Arc;
 
@@ -7,16 +7,17 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{GroupSeat, InstanceId, Millis, SeatState};
 
-/// Longest time that a closing group gets for what it has.
-const CLOSING_MS: Millis = 3_000;
+/// Longest time that a closing group gets to finish its requests.
+const CLOSING_LIMIT_MS: Millis = 3_000;
 
-/// Time that other routers get to tell what they see.
+/// Time that other routers get to report what they observe of a head.
 const CONFIRM_MS: Millis = 400;
 
-/// Time beyond the published one until a head has broken for certain.
+/// Time beyond the published stall time after which a head whose members have left is
+/// certain to have broken.
 const BREAK_SLACK_MS: Millis = 500;
 
-/// Begins to give a group up. With `drain` its head finishes what it has.
+/// Starts to end a group. With `drain` its head finishes its requests first.
 pub(super) fn begin(
     state: &mut DirectState,
     now: Millis,
@@ -40,59 +41,59 @@
         asked: now,
         left: None,
     };
-    enter(state, now, group, ending, out);
+    add_ending(state, now, group, ending, out);
 }
 
-/// The head of a group, where it was lost.
+/// The head of a group, if it is lost.
 fn lost_head(state: &DirectState, group: &Arc<str>) -> Option<InstanceId> {
-    let heads = |id: &&InstanceId| {
+    let is_head = |id: &&InstanceId| {
         let seat = state.endpoints.get(*id).and_then(|v| v.entry.seat.as_ref());
         seat.is_some_and(|s| s.group == *group && s.rank == 0)
     };
-    state.plan.lost.keys().find(heads).cloned()
+    state.plan.lost.keys().find(is_head).cloned()
 }
 
-/// The head of a group, where the list names it by now.
+/// The head of a group by the entries of the endpoints, if any shows it by now.
 fn listed_head(state: &DirectState, group: &Arc<str>) -> Option<InstanceId> {
-    let heads = |v: &EndpointView| {
+    let is_head = |v: &EndpointView| {
         let seat = v.entry.seat.as_ref();
         seat.is_some_and(|s| s.group == *group && s.rank == 0)
     };
-    let found = state.endpoints.iter().find(|(_, v)| heads(v));
+    let found = state.endpoints.iter().find(|(_, v)| is_head(v));
     found.map(|(id, _)| id.clone())
 }
 
-/// Takes a group on that is to be given up.
-pub(super) fn enter(
+/// Adds a group to those that are ending and sends the first orders.
+pub(super) fn add_ending(
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
     mut ending: Ending,
     out: &mut Vec<Effect>,
 ) {
-    let lost = ending
+    let is_lost = ending
         .head
         .as_ref()
         .is_none_or(|id| state.plan.lost.contains_key(id));
-    if lost {
+    if is_lost {
         ending.step = EndingStep::Confirming;
     }
-    let note = Note::new(NoteCode::GroupEnding)
+    let event = Note::new(NoteCode::GroupEnding)
         .with("group", group)
         .with("step", format!("{:?}", ending.step))
         .with(
             "head",
             ending.head.as_ref().map_or("unknown", |id| id.as_str()),
         );
-    out.push(Effect::Note(note));
-    ask(state, group, &ending, out);
-    if go_on(state, now, group, &mut ending, out) {
+    out.push(Effect::Note(event));
+    send_orders(state, group, &ending, out);
+    if advance(state, now, group, &mut ending, out) {
         state.plan.ending.insert(group.clone(), ending);
     }
 }
 
-/// Gives the orders that a step needs.
-fn ask(state: &mut DirectState, group: &Arc<str>, ending: &Ending, out: &mut Vec<Effect>) {
+/// Sends the orders of the current step.
+fn send_orders(state: &mut DirectState, group: &Arc<str>, ending: &Ending, out: &mut Vec<Effect>) {
     let epoch = ending.epoch;
     let leave = |group: &Arc<str>| GroupStep::Leave {
         group: group.clone(),
@@ -104,31 +105,31 @@
                 group: group.clone(),
                 epoch,
             };
-            order::give(state, head, step, OrderUse::Close(group.clone()), out);
+            order::send(state, head, step, OrderUse::Close(group.clone()), out);
         }
         (EndingStep::Leaving, Some(head)) => {
-            let used = OrderUse::Leave(group.clone());
-            order::give(state, head, leave(group), used, out);
+            let purpose = OrderUse::Leave(group.clone());
+            order::send(state, head, leave(group), purpose, out);
         }
         (EndingStep::Breaking, _) => {
             for id in &ending.others {
-                let used = OrderUse::Break(group.clone(), id.clone());
-                order::give(state, id, leave(group), used, out);
+                let purpose = OrderUse::Break(group.clone(), id.clone());
+                order::send(state, id, leave(group), purpose, out);
             }
         }
         _ => {}
     }
 }
 
-/// The head has left: its group is over.
-pub(super) fn over(state: &mut DirectState, group: Arc<str>) {
+/// Handles the reply that a head has left: its group has ended.
+pub(super) fn on_head_left(state: &mut DirectState, group: Arc<str>) {
     if state.plan.ending.remove(&group).is_some() {
         state.plan.ended.insert(group);
     }
 }
 
-/// An endpoint has started again: the place that it had is void.
-pub(in crate::logic::direct) fn started_again(
+/// Handles the restart of an endpoint: it has lost its seat.
+pub(in crate::logic::direct) fn on_endpoint_restarted(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
@@ -139,33 +140,26 @@
     plan.seats.remove(id);
     plan.staging.remove(id);
     plan.looks.remove(id);
-    let missed = plan.lost.remove(id).is_some();
+    let was_lost = plan.lost.remove(id).is_some();
     if !plan.duty.holds(now) {
         return;
     }
     plan.look_at = now;
-    if !missed {
-        cover::died(state, now);
+    if !was_lost {
+        cover::on_endpoint_lost(state, now);
     }
-    let joins = |(_, f): &(&Arc<str>, &Forming)| f.members.contains(id);
-    let forming = state.plan.forming.iter().find(joins);
+    let is_member = |(_, f): &(&Arc<str>, &Forming)| f.members.contains(id);
+    let forming = state.plan.forming.iter().find(is_member);
     if let Some(group) = forming.map(|(group, _)| group.clone()) {
         if let Some(forming) = state.plan.forming.remove(&group) {
-            form::give_up(
-                state,
-                now,
-                &group,
-                &forming,
-                "a member has started again",
-                out,
-            );
+            form::give_up(state, now, &group, &forming, "a member has restarted", out);
         }
     }
-    // A head that has ended serves no more, whoever else is left.
-    let led = seat.filter(|s| s.rank == 0).map(|s| s.group.clone());
-    let given_up = |(_, e): &(&Arc<str>, &Ending)| e.head.as_ref() == Some(id);
-    let ending = state.plan.ending.iter().find(given_up);
-    for group in led
+    // The head's earlier process has stopped, so its group has ended whichever members are left.
+    let headed = seat.filter(|s| s.rank == 0).map(|s| s.group.clone());
+    let is_head = |(_, e): &(&Arc<str>, &Ending)| e.head.as_ref() == Some(id);
+    let ending = state.plan.ending.iter().find(is_head);
+    for group in headed
         .into_iter()
         .chain(ending.map(|(group, _)| group.clone()))
     {
@@ -174,28 +168,29 @@
     }
 }
 
-/// A member has left a group whose head can't be told: from now it stands still.
-pub(super) fn broken_off(state: &mut DirectState, now: Millis, group: &Arc<str>) {
+/// Handles the reply that a member has left a group whose head can't be reached: from now
+/// on the head makes no progress, and breaks after the stall time.
+pub(super) fn on_member_left(state: &mut DirectState, now: Millis, group: &Arc<str>) {
     if let Some(ending) = state.plan.ending.get_mut(group) {
         ending.left.get_or_insert(now);
     }
 }
 
-/// Goes on with every group that is being given up.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Advances every group that is ending.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let names: Vec<_> = state.plan.ending.keys().cloned().collect();
     for group in names {
         let Some(mut ending) = state.plan.ending.remove(&group) else {
             continue;
         };
-        if go_on(state, now, &group, &mut ending, out) {
+        if advance(state, now, &group, &mut ending, out) {
             state.plan.ending.insert(group, ending);
         }
     }
 }
 
-/// The next step of one group; false when it is over.
-fn go_on(
+/// Takes the next step of one group. False once the group has ended.
+fn advance(
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
@@ -205,62 +200,67 @@
     if ending.head.is_none() {
         ending.head = listed_head(state, group);
     }
-    if stopped(state, now, group, ending) {
+    if is_head_stopped(state, now, group, ending) {
         state.plan.ended.insert(group.clone());
         return false;
     }
     if let (EndingStep::Confirming, Some(head)) = (ending.step, &ending.head) {
-        look::at(state, now, head, out);
+        look::send_if_due(state, now, head, out);
     }
     let next = next_step(state, now, group, ending);
     if next != ending.step {
         ending.step = next;
         ending.since = now;
         ending.asked = now;
-        ask(state, group, ending, out);
+        send_orders(state, group, ending, out);
     } else if now >= ending.asked + state.knobs.order_ms {
         ending.asked = now;
-        ask(state, group, ending, out);
+        send_orders(state, group, ending, out);
     }
     true
 }
 
-/// What is awaited now.
+/// The step that the group is in now.
 fn next_step(state: &DirectState, now: Millis, group: &Arc<str>, ending: &Ending) -> EndingStep {
     let head = ending.head.as_ref();
-    let lost =
+    let is_lost =
         head.is_none_or(|id| state.plan.lost.contains_key(id) || !state.endpoints.contains_key(id));
     match ending.step {
-        EndingStep::Closing | EndingStep::Leaving if lost => EndingStep::Confirming,
+        EndingStep::Closing | EndingStep::Leaving if is_lost => EndingStep::Confirming,
         EndingStep::Closing => {
-            let ready = head.and_then(|id| seat(state, id, group)) == Some(SeatState::Ready);
-            if ready || now >= ending.since + CLOSING_MS {
+            let is_closed =
+                head.and_then(|id| seat_state(state, id, group)) == Some(SeatState::Ready);
+            if is_closed || now >= ending.since + CLOSING_LIMIT_MS {
                 EndingStep::Leaving
             } else {
                 EndingStep::Closing
             }
         }
-        EndingStep::Confirming | EndingStep::Breaking if !lost => EndingStep::Leaving,
-        EndingStep::Confirming if now >= ending.since + confirming(state, head) => {
+        EndingStep::Confirming | EndingStep::Breaking if !is_lost => EndingStep::Leaving,
+        EndingStep::Confirming if now >= ending.since + confirm_limit_ms(state, head) => {
             EndingStep::Breaking
         }
         step => step,
     }
 }
 
-/// How long other routers get to tell that a head is over, before its members leave
-/// and break it. One that still works gets the time of an orderly end.
-fn confirming(state: &DirectState, head: Option<&InstanceId>) -> Millis {
-    if head.is_some_and(|id| look::works(state, id)) {
-        CLOSING_MS
+/// How long other routers get to confirm that a head has stopped, before the other members
+/// are ordered to leave, which breaks it. A head that a router finds alive gets as long as
+/// an orderly end may take.
+fn confirm_limit_ms(state: &DirectState, head: Option<&InstanceId>) -> Millis {
+    if head.is_some_and(|id| look::is_found_alive(state, id)) {
+        CLOSING_LIMIT_MS
     } else {
         CONFIRM_MS
     }
 }
 
-/// Whether the head has stopped for certain.
-fn stopped(state: &DirectState, now: Millis, group: &Arc<str>, ending: &Ending) -> bool {
-    let seat = ending.head.as_ref().and_then(|id| seat(state, id, group));
+/// Whether the head is certain to have stopped.
+fn is_head_stopped(state: &DirectState, now: Millis, group: &Arc<str>, ending: &Ending) -> bool {
+    let seat = ending
+        .head
+        .as_ref()
+        .and_then(|id| seat_state(state, id, group));
     if seat == Some(SeatState::Broken) {
         return true;
     }
@@ -268,27 +268,29 @@
         EndingStep::Confirming => ending
             .head
             .as_ref()
-            .is_some_and(|id| look::agreed(state, id)),
+            .is_some_and(|id| look::is_stop_confirmed(state, id)),
         EndingStep::Breaking => {
-            let alone = ending.others.is_empty().then_some(ending.since);
-            let since = ending.left.or(alone);
+            let without_members = ending.others.is_empty().then_some(ending.since);
+            let since = ending.left.or(without_members);
             since.is_some_and(|at| now >= at + state.knobs.stall_ms + BREAK_SLACK_MS)
         }
         EndingStep::Closing | EndingStep::Leaving => false,
     }
 }
 
-/// How far an endpoint is with its place in a group.
-fn seat(state: &DirectState, id: &InstanceId, group: &Arc<str>) -> Option<SeatState> {
+/// The listed state of an endpoint's seat in this group.
+fn seat_state(state: &DirectState, id: &InstanceId, group: &Arc<str>) -> Option<SeatState> {
     let seat = state.endpoints.get(id)?.entry.seat.as_ref()?;
     (seat.group == *group).then_some(seat.state)
 }
 
-/// Whether the group that an endpoint has a place in is given up.
-pub(in crate::logic::direct) fn given_up(state: &DirectState, id: &InstanceId) -> bool {
+/// Whether the group that an endpoint has a seat in has ended, or is ending in another step
+/// than `Closing`, in which its head finishes its requests.
+pub(in crate::logic::direct) fn is_in_retired_group(state: &DirectState, id: &InstanceId) -> bool {
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
     seat.is_some_and(|s| {
-        let stops = |e: &Ending| e.step != EndingStep::Closing;
-        state.plan.ended.contains(&s.group) || state.plan.ending.get(&s.group).is_some_and(stops)
+        let is_not_closing = |e: &Ending| e.step != EndingStep::Closing;
+        state.plan.ended.contains(&s.group)
+            || state.plan.ending.get(&s.group).is_some_and(is_not_closing)
     })
 }
--- a/src/logic/direct/plan/stage.rs
+++ b/src/logic/direct/plan/stage.rs
@@ -1,110 +1,121 @@
-//! Decides which model spares hold ready.
+//! Decides which models endpoints load in advance.
 //!
-//! A spare joins a group of its own, which never opens: whoever has held a
-//! model joins a group of that model almost at once.
+//! A spare without a model is ordered to join a group of its own, which never opens: an
+//! endpoint that already holds a model joins a group of that model almost at once. Any
+//! endpoint that holds a model may be ordered to load a second one to its host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::cover::{self, Cover};
+use super::cover::{self, ServiceReadiness};
 use super::survey::{self, Place};
 use super::{fill, form, order, value, OrderUse, Staging};
 use crate::logic::direct::{DirectState, EndpointView, GroupStep, Mechanism};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
-/// Time after which an order to load that shows no effect is given again.
-const AGAIN_MS: Millis = 3_000;
+/// Time beyond twice the load time after which an order to load that shows no effect may
+/// be given again.
+const LOAD_SLACK_MS: Millis = 3_000;
 
-/// Times the loads at once that may be under way while loads are cheap.
-const PARALLEL: usize = 3;
+/// Loads that may be under way in the initial phase, as a multiple of those that run at
+/// full speed together.
+const INITIAL_LOADS_FACTOR: usize = 3;
 
-/// Unanswered orders beyond which nothing more is staged: groups come first, and
-/// each order costs this router time.
-const BACKLOG: usize = 256;
+/// Unanswered orders from which on spares get no orders to load; a quarter of it holds for
+/// second models. Forming groups has priority, and each order costs this router time.
+const MAX_UNANSWERED_ORDERS: usize = 256;
 
-/// Least that a load must add, as a part of what the service does, to be worth its
-/// price. At 0 days were the same; at 0.008, with half of the loads at once for members,
-/// they lost 0.05 (docs/ROUNDS.md; the two were not measured apart).
-const LEAST_VALUE: f64 = 0.001;
+/// Least value of loading a second model, as a part of the service's worth: below it a
+/// load isn't worth its cost.
+const MIN_LOAD_VALUE: f64 = 0.001;
 
-/// Sees to it that endpoints hold models ready.
-pub(super) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    forget(state, now);
-    refill(state, now);
-    if state.plan.orders.len() < BACKLOG && state.knobs.on(Mechanism::Spares) {
-        spares(state, now, out);
+/// Orders endpoints to load models in advance.
+pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    forget_finished(state, now);
+    refill_budget(state, now);
+    if state.plan.orders.len() < MAX_UNANSWERED_ORDERS && state.knobs.on(Mechanism::Spares) {
+        stage_spares(state, now, out);
     }
-    if state.plan.orders.len() < BACKLOG / 4 && state.knobs.on(Mechanism::SecondModels) {
-        second(state, now, out);
+    if state.plan.orders.len() < MAX_UNANSWERED_ORDERS / 4
+        && state.knobs.on(Mechanism::SecondModels)
+    {
+        stage_second_models(state, now, out);
     }
 }
 
-/// Tells spares that hold no model to hold one.
-fn spares(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let mut services: BTreeMap<Arc<str>, Option<Cover>> = BTreeMap::new();
+/// Orders spares that hold no model to hold one.
+fn stage_spares(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    let mut services: BTreeMap<Arc<str>, Option<ServiceReadiness>> = BTreeMap::new();
     for (place, free) in survey::free(state) {
-        let cover = services
+        let readiness = services
             .entry(place.0.clone())
-            .or_insert_with(|| Cover::of(state, now, &place.0));
-        let Some(cover) = cover else {
+            .or_insert_with(|| ServiceReadiness::of(state, now, &place.0));
+        let Some(readiness) = readiness else {
             continue;
         };
         for id in &free {
-            let idle = !state.plan.staging.contains_key(id);
+            let is_idle = !state.plan.staging.contains_key(id);
             let view = state.endpoints.get(id);
-            // To hold a model again would drive the second one from its host.
-            let holds = view.is_some_and(|v| v.last.is_some());
-            if !idle || holds {
+            // An order to hold its model again would evict the second one from its host.
+            let has_model = view.is_some_and(|v| v.last.is_some());
+            if !is_idle || has_model {
                 continue;
             }
-            let warm = warm_model(state, id, &cover.engine);
-            // Whoever was there before this router may hold a model that it doesn't
-            // know of, and would lose it.
+            let warm = warm_model(state, id, &readiness.engine);
+            // An endpoint that started before this router knew the list may hold a model
+            // that this router doesn't know of, and would lose it.
             if warm.is_some() && !view.is_some_and(|v| v.new) {
                 continue;
             }
-            if warm.is_none() && !room(state, &cover.engine) {
+            if warm.is_none() && !can_load(state, &readiness.engine) {
                 continue;
             }
-            let model = warm.or_else(|| choose(state, &place, &free, cover));
+            let model = warm.or_else(|| choose_model(state, &place, &free, readiness));
             if let Some(m) = model {
-                let name = cover.engine.models[m].name.clone();
-                cover.loads(&place.1, m, true);
-                give(state, now, id, &name, warm.is_none(), out);
+                let name = readiness.engine.models[m].name.clone();
+                readiness.add_load(&place.1, m, true);
+                send_hold_order(state, now, id, &name, warm.is_none(), out);
             }
         }
     }
 }
 
-/// A model that the endpoint's host keeps.
+/// The readiest of the models that the endpoint can serve without a load from the weight
+/// store.
 fn warm_model(state: &DirectState, id: &InstanceId, engine: &EngineSpec) -> Option<usize> {
     let ready = |m: usize| value::readiness(state, id, &engine.models[m].name);
     let warm = (0..engine.models.len()).filter(|m| ready(*m) < value::COLD);
     warm.min_by_key(|m| ready(*m))
 }
 
-/// The model that an empty spare of a domain should load: as the work is shared while
-/// loads are cheap or no group stands, then what adds most.
-fn choose(state: &DirectState, place: &Place, free: &[InstanceId], cover: &Cover) -> Option<usize> {
-    let models = &cover.engine.models;
-    if cover.empty() || fill::cheap(state) {
-        let filled = |m: &usize| {
+/// The model that a spare without any should load. In the initial phase, or while the
+/// service has no group, this is the one with the fewest ready spares in the domain for its
+/// published share; otherwise the one whose load adds most.
+fn choose_model(
+    state: &DirectState,
+    place: &Place,
+    free: &[InstanceId],
+    readiness: &ServiceReadiness,
+) -> Option<usize> {
+    let models = &readiness.engine.models;
+    if readiness.has_no_groups() || fill::is_initial_phase(state) {
+        let ready_by_share = |m: &usize| {
             let ready = free
                 .iter()
-                .filter(|id| cover::has(state, id, &models[*m].name));
+                .filter(|id| cover::is_ready_or_loading(state, id, &models[*m].name));
             ready.count() as u64 * 1_000_000 / models[*m].share.max(1)
         };
-        return (0..models.len()).min_by_key(filled);
+        return (0..models.len()).min_by_key(ready_by_share);
     }
-    let value = |m: usize| cover.value(&place.1, m, true);
+    let value = |m: usize| readiness.load_value(&place.1, m, true);
     (0..models.len()).max_by(|a, b| value(*a).total_cmp(&value(*b)))
 }
 
-/// Tells endpoints to load a second model to their hosts, as long as one adds enough:
-/// a member keeps the model of its group, and the host holds another one ready, so
-/// that whoever is left of a group can serve either.
-fn second(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Orders endpoints to load a second model to their hosts, as long as a load adds enough.
+/// A member keeps the model of its group while its host holds the other one, so that the
+/// survivors of a group can serve either.
+fn stage_second_models(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let free: BTreeSet<InstanceId> = survey::free(state).into_values().flatten().collect();
     let services: BTreeSet<Arc<str>> = state
         .endpoints
@@ -112,54 +123,54 @@
         .map(|v| v.entry.service.clone())
         .collect();
     for service in services {
-        let Some(mut cover) = Cover::of(state, now, &service) else {
+        let Some(mut readiness) = ServiceReadiness::of(state, now, &service) else {
             continue;
         };
         loop {
-            let busy = state.plan.staging.len() as u32 >= cover.engine.loads_at_once;
-            if busy || !room(state, &cover.engine) {
+            let is_full = state.plan.staging.len() as u32 >= readiness.engine.loads_at_once;
+            if is_full || !can_load(state, &readiness.engine) {
                 break;
             }
-            let Some((id, m)) = best_load(state, &service, &cover, &free) else {
+            let Some((id, m)) = best_load(state, &service, &readiness, &free) else {
                 break;
             };
             let Some(domain) = state.endpoints.get(&id).map(|v| v.entry.domain.clone()) else {
                 break;
             };
-            cover.loads(&domain, m, free.contains(&id));
-            let model = cover.engine.models[m].name.clone();
+            readiness.add_load(&domain, m, free.contains(&id));
+            let model = readiness.engine.models[m].name.clone();
             let step = GroupStep::Stage {
                 model: model.clone(),
             };
-            tell(state, now, &id, &model, true, step, out);
+            send_load_order(state, now, &id, &model, true, step, out);
         }
     }
 }
 
-/// The endpoint and the model whose load adds most, if any adds enough.
+/// The endpoint and the second model whose load adds most, if any adds enough.
 fn best_load(
     state: &DirectState,
     service: &Arc<str>,
-    cover: &Cover,
+    readiness: &ServiceReadiness,
     free: &BTreeSet<InstanceId>,
 ) -> Option<(InstanceId, usize)> {
     let mut best: Option<(f64, InstanceId, usize)> = None;
     for (id, view) in &state.endpoints {
-        let told = state.plan.staging.contains_key(id);
-        let Some(held) = view.last.as_ref().filter(|_| !told) else {
+        let is_loading = state.plan.staging.contains_key(id);
+        let Some(held) = view.last.as_ref().filter(|_| !is_loading) else {
             continue;
         };
-        // A host keeps few models: another one there is not driven out.
-        let full = view.entry.staged.iter().any(|m| m != held);
-        if full || view.entry.service != *service || !survey::usable(state, id, view) {
+        // Hosts keep few models: a second one that is already there isn't evicted.
+        let has_second = view.entry.staged.iter().any(|m| m != held);
+        if has_second || view.entry.service != *service || !survey::is_usable(state, id, view) {
             continue;
         }
-        for (m, model) in cover.engine.models.iter().enumerate() {
+        for (m, model) in readiness.engine.models.iter().enumerate() {
             if model.name == *held {
                 continue;
             }
-            let value = cover.value(&view.entry.domain, m, free.contains(id));
-            if value > best.as_ref().map_or(LEAST_VALUE, |b| b.0) {
+            let value = readiness.load_value(&view.entry.domain, m, free.contains(id));
+            if value > best.as_ref().map_or(MIN_LOAD_VALUE, |b| b.0) {
                 best = Some((value, id.clone(), m));
             }
         }
@@ -167,73 +178,75 @@
     best.map(|(_, id, m)| (id, m))
 }
 
-/// Forgets orders that are done, and those that had no effect.
-fn forget(state: &mut DirectState, now: Millis) {
+/// Forgets loads that have finished, and orders that have shown no effect in time.
+fn forget_finished(state: &mut DirectState, now: Millis) {
     let endpoints = &state.endpoints;
     let routing = state.routing.clone();
-    let load = |id: &InstanceId, model: &Arc<str>| {
+    let load_ms = |id: &InstanceId, model: &Arc<str>| {
         let service = endpoints.get(id).map(|v| v.entry.service.clone());
         let engine = service.and_then(|s| routing.as_ref()?.services.get(&s)?.engine.as_ref());
         engine.and_then(|e| e.model(model)).map_or(0, |m| m.load_ms)
     };
     state.plan.staging.retain(|id, staging| {
         let view = endpoints.get(id);
-        let holds = |v: &EndpointView| v.entry.model.as_ref() == Some(&staging.model);
-        let lies = |v: &EndpointView| v.entry.staged.contains(&staging.model);
-        let waits = |v: &EndpointView| !(holds(v) || (!staging.hold && lies(v)));
-        let late = staging.since + 2 * load(id, &staging.model) + AGAIN_MS;
-        view.is_some_and(waits) && now < late
+        let is_held = |v: &EndpointView| v.entry.model.as_ref() == Some(&staging.model);
+        let is_on_host = |v: &EndpointView| v.entry.staged.contains(&staging.model);
+        let is_loading = |v: &EndpointView| !(is_held(v) || (!staging.hold && is_on_host(v)));
+        let deadline = staging.since + 2 * load_ms(id, &staging.model) + LOAD_SLACK_MS;
+        view.is_some_and(is_loading) && now < deadline
     });
 }
 
-/// Fills the budget of loads by the rate of the service that allows most: services
-/// that load share one weight store.
-fn refill(state: &mut DirectState, now: Millis) {
+/// Refills the load budget at the highest load rate of any service: all services load
+/// from one weight store.
+fn refill_budget(state: &mut DirectState, now: Millis) {
     let services = state.routing.iter().flat_map(|r| r.served());
     let rates = services.filter_map(|s| Some(s.engine.as_ref()?.load_rate));
     let rate = rates.max().unwrap_or(0);
     state.plan.budget.fill(now, rate);
 }
 
-/// Whether another load may begin within the published rate.
-fn room(state: &DirectState, engine: &EngineSpec) -> bool {
-    // Before the first request loads don't count; but what is under way when it
-    // comes does not get cheaper.
-    let few = state.plan.staging.len() < PARALLEL * engine.loads_at_once as usize;
-    (fill::cheap(state) && few) || state.plan.budget.has_room()
+/// Whether another load from the weight store may begin.
+fn can_load(state: &DirectState, engine: &EngineSpec) -> bool {
+    // In the initial phase the published rate doesn't apply. The loads under way are bounded
+    // all the same: those that last beyond the first request cost as much as any other.
+    let few = state.plan.staging.len() < INITIAL_LOADS_FACTOR * engine.loads_at_once as usize;
+    (fill::is_initial_phase(state) && few) || state.plan.budget.has_room()
 }
 
-fn give(
+/// Orders a spare to hold a model, by joining a group of its own. `is_cold` says whether it
+/// has to load the model from the weight store.
+fn send_hold_order(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
     model: &Arc<str>,
-    load: bool,
+    is_cold: bool,
     out: &mut Vec<Effect>,
 ) {
     let epoch = form::next_epoch(state);
     let step = GroupStep::Join {
-        group: format!("{}{epoch}", survey::ALONE).into(),
+        group: format!("{}{epoch}", survey::ALONE_PREFIX).into(),
         epoch,
         model: model.clone(),
         members: vec![id.clone()],
     };
-    tell(state, now, id, model, load, step, out);
+    send_load_order(state, now, id, model, is_cold, step, out);
 }
 
-fn tell(
+fn send_load_order(
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
     model: &Arc<str>,
-    load: bool,
+    is_cold: bool,
     step: GroupStep,
     out: &mut Vec<Effect>,
 ) {
-    let note = Note::new(NoteCode::StageOrdered)
+    let event = Note::new(NoteCode::StageOrdered)
         .with("endpoint", id)
         .with("model", model);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let hold = matches!(step, GroupStep::Join { .. });
     let staging = Staging {
         model: model.clone(),
@@ -241,8 +254,8 @@
         hold,
     };
     state.plan.staging.insert(id.clone(), staging);
-    if load {
+    if is_cold {
         state.plan.budget.take();
     }
-    order::give(state, id, step, OrderUse::Stage(id.clone()), out);
+    order::send(state, id, step, OrderUse::Stage(id.clone()), out);
 }
--- a/src/logic/direct/plan/staging.rs
+++ b/src/logic/direct/plan/staging.rs
@@ -2,13 +2,13 @@
 
 use crate::types::Millis;
 
-/// A model that an endpoint was told to load.
+/// A model that an endpoint was ordered to load in advance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Staging {
     /// The model.
     pub model: Arc<str>,
     /// When the order was given.
     pub since: Millis,
-    /// Whether the endpoint is to hold it, not only its host.
+    /// Whether the endpoint itself is to hold it, and not only its host.
     pub hold: bool,
 }
--- a/src/logic/direct/plan/survey.rs
+++ b/src/logic/direct/plan/survey.rs
@@ -7,21 +7,23 @@
 use crate::logic::direct::{DirectState, EndpointView};
 use crate::types::InstanceId;
 
-/// How names of groups begin that one endpoint forms alone, to hold a model ready.
-pub(super) const ALONE: &str = "alone-";
+/// Name prefix of groups with a single endpoint, which never open: they only keep a model
+/// loaded on a spare.
+pub(super) const ALONE_PREFIX: &str = "alone-";
 
-/// Service and fabric domain.
+/// A service and one of its fabric domains.
 pub(super) type Place = (Arc<str>, Arc<str>);
 
-/// All groups that any endpoint has a place in, but for those that are over.
+/// All groups in which an endpoint that isn't lost has a seat, without those that have
+/// ended and those of single spares.
 pub(super) fn groups(state: &DirectState) -> BTreeMap<Arc<str>, GroupView> {
     let mut groups: BTreeMap<Arc<str>, GroupView> = BTreeMap::new();
     for (id, view) in &state.endpoints {
-        let Some(seat) = view.entry.seat.as_ref().filter(|_| planned(state, view)) else {
+        let Some(seat) = view.entry.seat.as_ref().filter(|_| is_planned(state, view)) else {
             continue;
         };
-        let alone = seat.group.starts_with(ALONE);
-        if alone || state.plan.ended.contains(&seat.group) || state.plan.lost.contains_key(id) {
+        let is_alone = seat.group.starts_with(ALONE_PREFIX);
+        if is_alone || state.plan.ended.contains(&seat.group) || state.plan.lost.contains_key(id) {
             continue;
         }
         let group = groups
@@ -45,13 +47,13 @@
     groups
 }
 
-/// Endpoints of engines that aren't needed by any group, by service and domain.
+/// Usable endpoints of engines that belong to no group, by service and domain.
 pub(super) fn free(state: &DirectState) -> BTreeMap<Place, Vec<InstanceId>> {
     let forming = state.plan.forming.values().flat_map(|f| &f.members);
     let forming: BTreeSet<&InstanceId> = forming.collect();
     let mut free: BTreeMap<Place, Vec<InstanceId>> = BTreeMap::new();
     for (id, view) in &state.endpoints {
-        if usable(state, id, view) && !forming.contains(id) && !seated(state, view) {
+        if is_usable(state, id, view) && !forming.contains(id) && !is_seated(state, view) {
             let place = (view.entry.service.clone(), view.entry.domain.clone());
             free.entry(place).or_default().push(id.clone());
         }
@@ -59,36 +61,41 @@
     free
 }
 
-/// Whether an endpoint of an engine may be planned with.
-pub(super) fn usable(state: &DirectState, id: &InstanceId, view: &EndpointView) -> bool {
-    planned(state, view) && view.listed && !view.entry.leaving && !state.plan.lost.contains_key(id)
+/// Whether an endpoint can serve in a new group: it is planned, listed, not about to leave
+/// and not lost.
+pub(super) fn is_usable(state: &DirectState, id: &InstanceId, view: &EndpointView) -> bool {
+    is_planned(state, view)
+        && view.listed
+        && !view.entry.leaving
+        && !state.plan.lost.contains_key(id)
 }
 
-/// Whether an endpoint belongs to a service whose groups are planned. An entry may name
-/// a service that operators know nothing of.
-pub(super) fn planned(state: &DirectState, view: &EndpointView) -> bool {
+/// Whether an endpoint belongs to a service whose groups are planned. Its entry may name a
+/// service that the routing lacks.
+pub(super) fn is_planned(state: &DirectState, view: &EndpointView) -> bool {
     let service = &view.entry.service;
     let spec = state.routing.as_ref().and_then(|r| r.services.get(service));
     !view.entry.domain.is_empty() && spec.is_some_and(|s| s.engine.is_some())
 }
 
-/// Model of the group that an endpoint serves in or joins; none where it is free.
+/// Model of the group that an endpoint serves in or joins; none if it is free.
 pub(super) fn model_of(
     state: &DirectState,
     id: &InstanceId,
     view: &EndpointView,
 ) -> Option<Arc<str>> {
-    let joins = |f: &&super::Forming| f.members.contains(id);
-    if let Some(forming) = state.plan.forming.values().find(joins) {
+    let is_member = |f: &&super::Forming| f.members.contains(id);
+    if let Some(forming) = state.plan.forming.values().find(is_member) {
         return Some(forming.model.clone());
     }
     let held = view.entry.model.clone();
-    held.filter(|_| seated(state, view))
+    held.filter(|_| is_seated(state, view))
 }
 
-/// Whether an endpoint has a place in a group that isn't over.
-fn seated(state: &DirectState, view: &EndpointView) -> bool {
-    let over = |group: &Arc<str>| group.starts_with(ALONE) || state.plan.ended.contains(group);
+/// Whether an endpoint has a seat in a group that hasn't ended; single spares don't count.
+fn is_seated(state: &DirectState, view: &EndpointView) -> bool {
+    let is_free =
+        |group: &Arc<str>| group.starts_with(ALONE_PREFIX) || state.plan.ended.contains(group);
     let seat = view.entry.seat.as_ref();
-    seat.is_some_and(|s| !over(&s.group))
+    seat.is_some_and(|s| !is_free(&s.group))
 }
--- a/src/logic/direct/plan/tend.rs
+++ b/src/logic/direct/plan/tend.rs
@@ -1,3 +1,5 @@
+//! The periodic planning pass over all groups and free endpoints.
+
 use super::{
     duty, fill, fleet_view, form, idle, inspect, look, retire, stage, survey, value, LoadBudget,
 };
@@ -5,68 +7,73 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::Millis;
 
-/// Endpoints that a look may cover for each millisecond until the next one.
-const LOOKED_IN_A_MS: Millis = 10;
+/// Endpoints per millisecond between two planning passes.
+const ENDPOINTS_PER_MS: Millis = 10;
 
-/// Time between two readings of the whole list for one duty.
-const READ_MS: Millis = 1_500;
+/// Interval at which a new planner requests the whole list until it is current.
+const LIST_READ_INTERVAL_MS: Millis = 1_500;
 
-/// Looks after the duty and, where it is held, after the groups.
-pub(in crate::logic::direct) fn tend(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    duty::tend(state, now, out);
+/// Maintains the planner lease and, while it is held, runs a planning pass when one is due.
+pub(in crate::logic::direct) fn on_tick(
+    state: &mut DirectState,
+    now: Millis,
+    out: &mut Vec<Effect>,
+) {
+    duty::on_tick(state, now, out);
     let holds = state.plan.duty.holds(now) && state.stopping.is_none();
     if holds != state.plan.held {
         state.plan.held = holds;
-        forget(state);
+        clear_pass_state(state);
         if holds {
             state.plan.read_at = now;
             state.plan.budget = LoadBudget::empty(now);
-            look::all(state, now, out);
+            look::send_to_seated(state, now, out);
         }
         if !holds {
-            let note = Note::new(NoteCode::DutyLost).with("why", "not renewed in time");
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::DutyLost).with("why", "not renewed in time");
+            out.push(Effect::Note(event));
         }
     }
     if holds {
-        read_anew(state, now, out);
+        request_list(state, now, out);
     }
-    if !holds || !is_read(state) || state.routing.is_none() || now < state.plan.look_at {
+    if !holds || !is_list_current(state) || state.routing.is_none() || now < state.plan.look_at {
         return;
     }
-    // A look costs time by endpoint: large fleets are looked at less often.
-    let rest = state.endpoints.len() as Millis / LOOKED_IN_A_MS;
-    state.plan.look_at = now + state.knobs.plan_ms.max(rest);
-    count(state, now);
-    look::tend(state, now, out);
-    form::tend(state, now, out);
-    retire::tend(state, now, out);
-    inspect::tend(state, now, out);
-    fill::tend(state, now, out);
-    stage::tend(state, now, out);
-    idle::tend(state, now, out);
-    needs(state, now, out);
-    clean(state);
+    // A pass takes time in proportion to the endpoints: large fleets are planned less often.
+    let interval = state.endpoints.len() as Millis / ENDPOINTS_PER_MS;
+    state.plan.look_at = now + state.knobs.plan_ms.max(interval);
+    update_engine_count(state, now);
+    look::on_tick(state, now, out);
+    form::on_tick(state, now, out);
+    retire::on_tick(state, now, out);
+    inspect::on_tick(state, now, out);
+    fill::on_tick(state, now, out);
+    stage::on_tick(state, now, out);
+    idle::on_tick(state, now, out);
+    log_needs(state, now, out);
+    forget_ended(state);
 }
 
-/// Whether the list is as new as the duty: what earlier planners did is in it then.
-fn is_read(state: &DirectState) -> bool {
-    let whole = state.listed && !state.digests.skipped;
-    whole && state.listed_at >= state.plan.duty.taken
+/// Whether the list is complete and at least as new as the planner lease, so that it
+/// shows everything that earlier planners did.
+fn is_list_current(state: &DirectState) -> bool {
+    let is_complete = state.listed && !state.digests.skipped;
+    is_complete && state.listed_at >= state.plan.duty.taken
 }
 
-/// Has the list read whole where its changes lag behind the duty: in a large fleet
-/// that takes far less time than to catch up.
-fn read_anew(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    if is_read(state) || now < state.plan.read_at {
+/// Requests the whole list while it is older than the planner lease: in a large fleet this
+/// takes far less time than catching up by single changes.
+fn request_list(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+    if is_list_current(state) || now < state.plan.read_at {
         return;
     }
-    state.plan.read_at = now + READ_MS;
+    state.plan.read_at = now + LIST_READ_INTERVAL_MS;
     out.push(Effect::Direct(DirectEffect::ReadList));
 }
 
-/// Forgets what an earlier term of the duty was about.
-fn forget(state: &mut DirectState) {
+/// Drops the state of an earlier period as planner.
+fn clear_pass_state(state: &mut DirectState) {
     let plan = &mut state.plan;
     plan.forming.clear();
     plan.ending.clear();
@@ -80,15 +87,15 @@
     plan.idle.clear();
 }
 
-/// Time between two events on what models need: a few lines for a repair to be read by.
-const NEEDS_MS: Millis = 5_000;
+/// Interval between log events on what models need: a few of them fall into each repair.
+const NEEDS_LOG_INTERVAL_MS: Millis = 5_000;
 
-/// Logs what each model needs and has.
-fn needs(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
+/// Logs the groups that each model has and needs.
+fn log_needs(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     if now < state.plan.needs_at {
         return;
     }
-    state.plan.needs_at = now + NEEDS_MS;
+    state.plan.needs_at = now + NEEDS_LOG_INTERVAL_MS;
     let Some(routing) = state.routing.clone() else {
         return;
     };
@@ -98,22 +105,23 @@
         };
         let needs = value::needs(state, now, engine);
         let counts = fleet_view::counts(state, service, engine);
-        for ((model, need), stand) in engine.models.iter().zip(needs).zip(counts) {
-            let note = Note::new(NoteCode::NeedsReckoned)
+        for ((model, need), count) in engine.models.iter().zip(needs).zip(counts) {
+            let event = Note::new(NoteCode::NeedsReckoned)
                 .with("model", &model.name)
-                .with("stand", stand)
+                .with("stand", count)
                 .with("needed", format!("{:.2}", need.groups))
                 .with("weight", format!("{:.2}", need.weight));
-            out.push(Effect::Note(note));
+            out.push(Effect::Note(event));
         }
     }
 }
 
-fn count(state: &mut DirectState, now: Millis) {
+/// Counts the listed endpoints of engines, for the placement and for its time to settle.
+fn update_engine_count(state: &mut DirectState, now: Millis) {
     let engines = state
         .endpoints
         .values()
-        .filter(|v| v.listed && survey::planned(state, v));
+        .filter(|v| v.listed && survey::is_planned(state, v));
     let count = engines.count();
     state.plan.most = state.plan.most.max(count);
     if count != state.plan.count.0 {
@@ -121,12 +129,12 @@
     }
 }
 
-/// Forgets groups that are over once nobody has a place in them.
-fn clean(state: &mut DirectState) {
+/// Forgets ended groups once no endpoint has a seat in them.
+fn forget_ended(state: &mut DirectState) {
     let endpoints = &state.endpoints;
-    let seated = |name: &std::sync::Arc<str>| {
+    let has_seats = |name: &std::sync::Arc<str>| {
         let mut seats = endpoints.values().filter_map(|v| v.entry.seat.as_ref());
         seats.any(|s| s.group == *name)
     };
-    state.plan.ended.retain(|name| seated(name));
+    state.plan.ended.retain(|name| has_seats(name));
 }
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -64,7 +64,7 @@
     }
     for id in doubted {
         if state.plan.duty.holds(now) {
-            plan::suspect(state, now, &id, out);
+            plan::on_head_silent(state, now, &id, out);
         } else {
             peers::warn(state, &id, out);
         }
@@ -74,7 +74,7 @@
     }
     outlived(state, now, out);
     for (id, sure) in found {
-        if sure || plan::given_up(state, &id) {
+        if sure || plan::is_in_retired_group(state, &id) {
             leave(state, now, &id, false, out);
         }
     }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -22,13 +22,13 @@
         Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
             crashes::answered(state, now, &result);
         }
-        Event::Store { call, result } => plan::answered(state, now, call, result, out),
+        Event::Store { call, result } => plan::on_store_reply(state, now, call, result, out),
         Event::Watch(changes) => {
             peers::changed(state, &changes);
             crashes::changed(state, now, &changes, out);
-            plan::changed(state, now, &changes);
+            plan::on_watch_changes(state, now, &changes);
         }
-        Event::WatchLost => plan::unwatched(state),
+        Event::WatchLost => plan::on_watch_lost(state),
         Event::Direct(event) => direct(state, now, event, out),
         Event::Tick => tend(state, now, out),
         _ => {}
@@ -77,10 +77,12 @@
         DirectEvent::Looked { id, result } => {
             peers::looked(state, now, &id, &result, out);
             crashes::looked(state, now, &id, &result, out);
-            plan::looked(state, now, &id, result, out);
+            plan::on_probe_result(state, now, &id, result, out);
         }
         DirectEvent::Peer { from, message } => peers::said(state, now, from, message, out),
-        DirectEvent::Ordered { order, result } => plan::ordered(state, now, order, result, out),
+        DirectEvent::Ordered { order, result } => {
+            plan::on_order_result(state, now, order, result, out)
+        }
     }
 }
 
@@ -128,7 +130,7 @@
     peers::tend(state, now, out);
     crashes::tend(state, now, out);
     demand::tend(state, now, out);
-    plan::tend(state, now, out);
+    plan::on_tick(state, now, out);
     wind_up(state, now, out);
 }
 
--- a/src/logic/direct/store.rs
+++ b/src/logic/direct/store.rs
@@ -25,5 +25,5 @@
     digests.list_until = 0;
     digests.routing_until = 0;
     crashes::restored(state, now);
-    plan::restored(state, now, out);
+    plan::on_store_restored(state, now, out);
 }
