--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -1,4 +1,4 @@
-//! The planner's lease in the key-value service.
+//! The planner lease: the key in the key-value service whose holder is the planner.
 
 use crate::logic::direct::{crashes, peers, DirectState};
 use crate::logic::router::{CallId, Check, Put, StoreCall, StoreChange, StoreReply, StoreResult};
@@ -38,7 +38,7 @@
     pub watched: bool,
     /// Instance id in the key, if the key exists.
     pub holder: Option<String>,
-    /// Revision of the key; 0 where there is none.
+    /// Revision of the key; 0 if it doesn't exist.
     pub revision: i64,
     /// Id of the own lease.
     pub lease: Option<i64>,
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -12,7 +12,7 @@
 /// Epochs that belong to one fence.
 const EPOCHS_PER_FENCE: u64 = 4_096;
 
-/// Time beyond the published ones after which a group that isn't open is given up.
+/// Time beyond the published times after which a group that isn't open is given up.
 const FORM_SLACK_MS: Millis = 3_000;
 
 /// An epoch above every earlier one of any planner.
@@ -21,7 +21,7 @@
     state.plan.duty.fence * EPOCHS_PER_FENCE + state.plan.named
 }
 
-/// Time beyond the published ones after which members that aren't ready are probed.
+/// Time beyond the published times after which members that aren't ready are probed.
 const LATE_PROBE_MS: Millis = 150;
 
 /// Starts to form a group. `takes` is the expected time until it is open, in milliseconds.
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -21,7 +21,7 @@
 const MAX_ASKED_ROUTERS: usize = 4;
 
 /// Shortest time between two rounds of questions to other routers about one head: as long
-/// as the ending of its group waits for their answers.
+/// as an ending group waits for their answers.
 const ASK_INTERVAL_MS: Millis = 400;
 
 /// Probes of one endpoint.
@@ -140,7 +140,7 @@
     if !state.plan.duty.holds(now) {
         return;
     }
-    let since = state.plan.looks.get(id).map_or(now, |l| l.since);
+    let since = state.plan.looks.get(id).map_or(now, |p| p.since);
     endpoints::reported(state, now, id, &result, out);
     let observation = endpoints::sight(state, now, id, &result, since);
     let probe = state.plan.looks.entry(id.clone()).or_default();
@@ -188,7 +188,7 @@
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
     let is_head = seat.is_some_and(|s| s.rank == 0);
     let probe = state.plan.looks.get(id);
-    let due = probe.is_some_and(|l| l.asked_at == 0 || now >= l.asked_at + ASK_INTERVAL_MS);
+    let due = probe.is_some_and(|p| p.asked_at == 0 || now >= p.asked_at + ASK_INTERVAL_MS);
     if !is_head || !due {
         return;
     }
@@ -219,7 +219,7 @@
 pub(super) fn is_stop_confirmed(state: &DirectState, id: &InstanceId) -> bool {
     let needed = MAX_ASKED_ROUTERS.min(state.peers.len()).max(1);
     let probe = state.plan.looks.get(id);
-    probe.is_some_and(|l| l.others.len() >= needed && l.is_stopped())
+    probe.is_some_and(|p| p.others.len() >= needed && p.is_stopped())
 }
 
 /// Whether any router finds an endpoint alive.
@@ -260,7 +260,7 @@
     let members = group_members(state, &group);
     let has_answered = |id: &InstanceId| {
         let probe = state.plan.looks.get(id);
-        probe.is_some_and(|l| !l.pending && l.misses == 0 && now < l.since + PROBE_INTERVAL_MS)
+        probe.is_some_and(|p| !p.pending && p.misses == 0 && now < p.since + PROBE_INTERVAL_MS)
     };
     if !members.iter().all(has_answered) {
         return;
@@ -291,7 +291,7 @@
         .map(|(id, _)| id.clone())
         .collect();
     for id in to_probe {
-        let since = state.plan.looks.get(&id).map_or(0, |l| l.since);
+        let since = state.plan.looks.get(&id).map_or(0, |p| p.since);
         if now >= since + LOST_PROBE_INTERVAL_MS {
             send_if_due(state, now, &id, out);
         }
--- a/src/logic/direct/plan/model_load.rs
+++ b/src/logic/direct/plan/model_load.rs
@@ -36,13 +36,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ModelLoad {
     /// Requests per second.
-    pub requests: f64,
+    pub request_rate: f64,
     /// Mean length of a prompt, in tokens.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Mean square of a prompt's length, in tokens squared.
-    pub square: f64,
+    pub prompt_square: f64,
     /// Mean length of an answer, in tokens.
-    pub answer: f64,
+    pub answer_tokens: f64,
     /// Longest pause within an answer that callers tolerate, in milliseconds.
     pub pause_ms: f64,
     /// Time within which an answer should start, in milliseconds.
@@ -58,7 +58,7 @@
     /// Requests that a group runs at once.
     pub slots: f64,
     /// Losses of a member of one group per second.
-    pub losses: f64,
+    pub loss_rate: f64,
     /// Seconds until a group that has lost a member serves again.
     pub repair_s: f64,
 }
@@ -67,13 +67,13 @@
     /// Part of the demand that this number of groups serves in time, with late answers counted
     /// by their credit and groups under repair left out.
     pub(super) fn served(&self, groups: usize) -> f64 {
-        let available = groups as f64 / (1.0 + self.losses * self.repair_s);
+        let available = groups as f64 / (1.0 + self.loss_rate * self.repair_s);
         if available <= 0.0 {
             return 0.0;
         }
         let with_admission = |step: u32| {
             let part = f64::from(step) / f64::from(ADMISSION_STEPS);
-            part * self.credit(self.requests * part / available)
+            part * self.credit(self.request_rate * part / available)
         };
         (1..=ADMISSION_STEPS)
             .map(with_admission)
@@ -103,23 +103,23 @@
     /// Mean credit of a request if one group gets `rate` requests per second.
     fn credit(&self, rate: f64) -> f64 {
         let rate_per_ms = rate / 1_000.0;
-        let read_ms = self.prompt * self.read_ms;
-        let utilization = rate_per_ms * (read_ms + self.answer * self.sequence_ms);
+        let read_ms = self.prompt_tokens * self.read_ms;
+        let utilization = rate_per_ms * (read_ms + self.answer_tokens * self.sequence_ms);
         if utilization >= MAX_UTILIZATION_FACTOR {
             return 0.0;
         }
         let stride = self.stride.max(1.0);
         let pass_ms = stride * self.step_ms / (1.0 - utilization);
-        let passes = self.answer / stride;
+        let passes = self.answer_tokens / stride;
         let running = rate_per_ms * passes * pass_ms;
         // Variance of the time spent on reading within one pass.
-        let variance = rate_per_ms * pass_ms * self.square * self.read_ms.powi(2);
+        let variance = rate_per_ms * pass_ms * self.prompt_square * self.read_ms.powi(2);
         let pause_late = tail_bound(self.pause_ms - pass_ms, variance, read_ms);
         let first_slack_ms = self.first_ms - PASSES_TO_FIRST_TOKEN * pass_ms - read_ms;
         let start_late = tail_bound(first_slack_ms, PASSES_TO_FIRST_TOKEN * variance, read_ms);
         let slots_full = tail_bound(self.slots - running, running, 1.0);
         let duration_s = (passes + PASSES_TO_FIRST_TOKEN) * pass_ms / 1_000.0;
-        let group_lasts = (-self.losses * duration_s).exp();
+        let group_lasts = (-self.loss_rate * duration_s).exp();
         let in_time =
             (1.0 - pause_late).powf(passes) * (1.0 - start_late) * (1.0 - slots_full) * group_lasts;
         in_time + LATE_CREDIT_FACTOR * (1.0 - in_time)
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -11,7 +11,7 @@
 const CLOSING_LIMIT_MS: Millis = 3_000;
 
 /// Time that other routers get to report what they observe of a head.
-const CONFIRM_MS: Millis = 400;
+const CONFIRM_LIMIT_MS: Millis = 400;
 
 /// Time beyond the published stall time after which a head whose members have left is
 /// certain to have broken.
@@ -251,7 +251,7 @@
     if head.is_some_and(|id| look::is_found_alive(state, id)) {
         CLOSING_LIMIT_MS
     } else {
-        CONFIRM_MS
+        CONFIRM_LIMIT_MS
     }
 }
 
--- a/src/logic/direct/plan/tend.rs
+++ b/src/logic/direct/plan/tend.rs
@@ -116,7 +116,8 @@
     }
 }
 
-/// Counts the listed endpoints of engines, for the placement and for its time to settle.
+/// Counts the listed endpoints of engines: the largest count is the basis of what models
+/// need, and the initial placement waits until the count has settled.
 fn update_engine_count(state: &mut DirectState, now: Millis) {
     let engines = state
         .endpoints
--- a/src/logic/direct/plan/trade.rs
+++ b/src/logic/direct/plan/trade.rs
@@ -36,8 +36,8 @@
 /// of 3,000 endpoints in each pass, a planner on a fifth of a core left the fleet unserved.
 const MAX_PLACES_PER_PASS: usize = 8;
 
-/// Looks for a group to trade in places where no group is forming or ending, while few
-/// are elsewhere.
+/// Looks for a group to trade in the next places where no group is forming or ending, unless
+/// many groups are forming or ending elsewhere.
 pub(super) fn find_trade(
     state: &mut DirectState,
     now: Millis,
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -134,22 +134,22 @@
     demand: &ModelDemand,
     loss_rate: f64,
 ) -> ModelLoad {
-    let requests = demand.requests.max(1) as f64 / 1_000.0;
+    let request_rate = demand.requests.max(1) as f64 / 1_000.0;
     let pace = model.pace as f64 / 1_000.0;
     let warm_s = model.warm_ms as f64 / 1_000.0;
     ModelLoad {
-        requests,
-        prompt: demand.prompt as f64 / requests,
-        square: demand.square as f64 / requests,
-        answer: demand.answer as f64 / requests,
-        pause_ms: demand.pause as f64 / requests,
-        first_ms: demand.first as f64 / requests,
+        request_rate,
+        prompt_tokens: demand.prompt as f64 / request_rate,
+        prompt_square: demand.square as f64 / request_rate,
+        answer_tokens: demand.answer as f64 / request_rate,
+        pause_ms: demand.pause as f64 / request_rate,
+        first_ms: demand.first as f64 / request_rate,
         read_ms: pace * 1_000.0 / engine.read_rate.max(1) as f64,
         stride: f64::from(engine.stride),
         step_ms: pace * engine.step_us as f64 / 1_000.0,
         sequence_ms: pace * engine.per_request_ns as f64 / 1e6,
         slots: f64::from(engine.slots),
-        losses: loss_rate * model.size as f64,
+        loss_rate: loss_rate * model.size as f64,
         // About half of the members that replace a lost one hold the model already.
         repair_s: REPAIR_S + warm_s / 2.0,
     }
--- a/tests/direct/duty.rs
+++ b/tests/direct/duty.rs
@@ -1,4 +1,4 @@
-//! The planner's duty.
+//! Which router holds the planner lease, and the fence of its orders.
 
 use runrail::logic::router::StoreChange;
 use runrail::logic::Event;
@@ -7,7 +7,8 @@
 
 const KEY: &str = "runrail/planner/fleet";
 
-fn holder(router: &mut Router, value: Option<&str>) {
+/// Reports a change of the planner's key: its holder, or none once it was deleted.
+fn set_holder(router: &mut Router, value: Option<&str>) {
     router.feed(Event::Watch(vec![StoreChange {
         key: KEY.to_string(),
         value: value.map(str::to_string),
@@ -16,22 +17,22 @@
 }
 
 #[test]
-fn the_duty_ends_when_another_router_holds_it_and_is_taken_when_it_is_free() {
+fn the_planner_lease_ends_when_another_router_holds_it_and_is_acquired_when_it_is_free() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
-    holder(&mut router, Some("r2"));
+    set_holder(&mut router, Some("r2"));
     router.pass(100);
     assert!(!router.holds());
     router.pass(2_000);
-    assert!(!router.holds(), "nobody takes what another one holds");
-    holder(&mut router, None);
+    assert!(!router.holds(), "another router holds the lease");
+    set_holder(&mut router, None);
     router.pass(200);
     assert!(router.holds());
 }
 
 #[test]
-fn a_router_takes_over_from_an_earlier_life_of_its_own_process() {
+fn a_router_takes_over_from_an_earlier_process_of_its_own() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
-    holder(&mut router, Some("r1"));
+    set_holder(&mut router, Some("r1"));
     router.pass(200);
     assert!(router.holds());
 }
--- a/tests/direct/idle.rs
+++ b/tests/direct/idle.rs
@@ -1,11 +1,11 @@
-//! Endpoints that serve in no group: told, counted, and freed from groups that are over.
+//! Endpoints that serve in no group: logged, counted, and ordered to leave ended groups.
 
 use runrail::logic::direct::{DirectEffect, GroupStep, LookResult, OrderResult};
 use runrail::logic::{Effect, NoteCode};
 
 use crate::fixture::{open_group, order, Router};
 
-/// A group of three has lost a member and was told to leave; its head has answered.
+/// A group of three that has lost a member and has ended: its head has left as ordered.
 fn two_survivors() -> Router {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.take();
@@ -16,11 +16,14 @@
         Some((n, _, GroupStep::Leave { .. })) => Some(n),
         _ => None,
     });
-    router.answer_order(left.expect("the head is told"), OrderResult::Done);
+    router.answer_order(
+        left.expect("the head is ordered to leave"),
+        OrderResult::Done,
+    );
     router
 }
 
-/// Endpoints that were told to leave the group.
+/// Endpoints that were ordered to leave the group.
 fn freed(effects: &[DirectEffect]) -> Vec<String> {
     let leave = |e| match order(e) {
         Some((_, id, GroupStep::Leave { group, epoch: 3 })) if **group == *"g" => Some(id),
@@ -29,10 +32,10 @@
     effects.iter().filter_map(leave).collect()
 }
 
-/// The list shows them in a group that is over; a planner that takes over would wait
-/// until its head must have broken.
+/// While the list shows them in the ended group, a new planner would wait until the head of
+/// that group must have broken.
 #[test]
-fn members_that_stay_behind_are_told_once_to_leave_a_group_that_is_over() {
+fn remaining_members_of_an_ended_group_are_ordered_once_to_leave_it() {
     let mut router = two_survivors();
     router.pass(600);
     assert!(
@@ -42,25 +45,25 @@
     router.pass(2_000);
     let mut freed = freed(&router.take());
     freed.sort();
-    assert_eq!(freed, ["e1", "e2"], "the lost one is not told");
+    assert_eq!(freed, ["e1", "e2"], "the lost one gets no order");
 }
 
 #[test]
-fn an_idle_endpoint_is_told_once_with_its_reason_and_counted() {
+fn an_idle_endpoint_is_logged_once_with_its_reason_and_counted() {
     let mut router = two_survivors();
     router.pass(3_000);
-    let told: Vec<String> = router
+    let events: Vec<String> = router
         .done
         .iter()
         .filter_map(|e| match e {
-            Effect::Note(note) if note.code == NoteCode::EndpointIdle => Some(note.to_string()),
+            Effect::Note(event) if event.code == NoteCode::EndpointIdle => Some(event.to_string()),
             _ => None,
         })
         .collect();
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[0].contains("reason=\"waits\""), "{told:?}");
+    assert_eq!(events.len(), 2, "{events:?}");
+    assert!(events[0].contains("reason=\"waits\""), "{events:?}");
     let now = router.now;
-    let figures = router.state().figures(now);
-    let waits = figures.iter().find(|(name, _)| *name == "idle_waits");
+    let metrics = router.state().figures(now);
+    let waits = metrics.iter().find(|(name, _)| *name == "idle_waits");
     assert_eq!(waits, Some(&("idle_waits", 2)));
 }
--- a/tests/direct/needs.rs
+++ b/tests/direct/needs.rs
@@ -1,20 +1,20 @@
-//! How many groups a model needs, by what its callers ask for.
+//! How many groups a model needs for its demand.
 
 use runrail::logic::direct::{DirectEvent, ModelDemand, PeerMessage};
 use runrail::types::{EndpointEntry, InstanceId};
 
 use crate::fixture::{addr, engine, keep_busy, Router, MODEL};
 
-/// Needs of the large and of the small model as the planner logs them.
+/// Groups that the large and the small model need, as the planner logs them.
 fn needs(router: &mut Router) -> Vec<f64> {
     router.state().plan.needs_at = 0;
     router.done.clear();
     router.pass(100);
-    let notes = router.done.iter().filter_map(|e| match e {
+    let events = router.done.iter().filter_map(|e| match e {
         runrail::logic::Effect::Note(note) if note.code.number() == 638 => Some(note),
         _ => None,
     });
-    let needed = notes.filter_map(|n| {
+    let needed = events.filter_map(|n| {
         let field = n.fields.iter().find(|(name, _)| *name == "needed")?;
         field.1.parse().ok()
     });
@@ -26,9 +26,9 @@
     (1..=24).map(|n| engine(n, None)).collect()
 }
 
-/// Demand of another router: so many requests a second of so many tokens, whose pauses
-/// may last so long.
-fn asked(requests: u64, prompt: u64, pause: u64) -> ModelDemand {
+/// Demand at another router: `requests` per second with prompts of `prompt` tokens, whose
+/// answers may pause for `pause` ms.
+fn demand(requests: u64, prompt: u64, pause: u64) -> ModelDemand {
     ModelDemand {
         requests: requests * 1_000,
         prompt: requests * prompt,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Groups of the large model that are needed for a demand.
+/// Groups of the large model that a demand needs.
 fn needed(demand: ModelDemand) -> f64 {
     let mut router = Router::planner(free());
     router
@@ -61,30 +61,31 @@
 
 #[test]
 fn long_prompts_need_more_groups_than_short_ones_of_the_same_work() {
-    let short = needed(asked(160, 500, 150));
-    let long = needed(asked(20, 4_000, 150));
+    let short = needed(demand(160, 500, 150));
+    let long = needed(demand(20, 4_000, 150));
     assert!(long > short, "{long} {short}");
 }
 
 #[test]
 fn shorter_pauses_need_more_groups() {
-    let patient = needed(asked(20, 1_000, 500));
-    let hasty = needed(asked(20, 1_000, 120));
-    assert!(hasty > patient, "{hasty} {patient}");
+    let long_pauses = needed(demand(20, 1_000, 500));
+    let short_pauses = needed(demand(20, 1_000, 120));
+    assert!(short_pauses > long_pauses, "{short_pauses} {long_pauses}");
 }
 
 #[test]
 fn more_requests_need_more_groups_and_none_need_none() {
     let all: Vec<f64> = [0, 5, 20, 60]
-        .map(|n| needed(asked(n, 1_000, 300)))
+        .map(|n| needed(demand(n, 1_000, 300)))
         .to_vec();
     assert!(all.windows(2).all(|w| w[0] <= w[1]), "{all:?}");
     assert!(all[0] <= 1.0 && all[3] > all[1], "{all:?}");
 }
 
-/// Requests that nobody could read in time are no reason to want ever more groups.
+/// Prompts that no number of groups could read in time must not raise the need without
+/// bound.
 #[test]
 fn demand_that_no_number_of_groups_serves_is_bounded_by_the_instances() {
-    let all = needed(asked(1_000_000, 100_000, 1));
+    let all = needed(demand(1_000_000, 100_000, 1));
     assert!(all <= 8.0, "{all}");
 }
--- a/tests/direct/placing.rs
+++ b/tests/direct/placing.rs
@@ -1,4 +1,4 @@
-//! Which groups stand where.
+//! The initial placement of groups in domains.
 
 use runrail::logic::direct::plan::{place, PlaceInput, PlaceModel};
 
@@ -50,8 +50,8 @@
     }
 }
 
-/// Placing took the cube of the domains, so that the planner of a large fleet handled
-/// nothing else for seconds.
+/// Guards against a placement whose time grows with the cube of the domains, which kept the
+/// planner of a large fleet from handling anything else for seconds.
 #[test]
 fn a_thousand_domains_are_placed_like_a_few() {
     let of = |count| PlaceInput {
@@ -64,11 +64,11 @@
     };
     let (few, many) = (place(&of(12)), place(&of(1_000)));
     assert!(many.iter().all(|mix| mix[0] * 4 + mix[1] * 3 <= 9));
-    let apart = (share(&few) - share(&many)).abs();
-    assert!(apart < 0.2, "{} {}", share(&few), share(&many));
+    let difference = (share(&few) - share(&many)).abs();
+    assert!(difference < 0.2, "{} {}", share(&few), share(&many));
 }
 
-/// What each placement is worth, reckoned domain by domain.
+/// Worth of a placement, computed independently of the code under test.
 fn worth(input: &PlaceInput, placed: &[Vec<usize>]) -> f64 {
     let capacity = |without: Option<usize>| -> f64 {
         let of = |(m, model): (usize, &PlaceModel)| {
@@ -82,23 +82,23 @@
         };
         input.models.iter().enumerate().map(of).sum()
     };
-    let lost: f64 = (0..placed.len()).map(|d| capacity(Some(d))).sum();
-    let rooms: f64 = placed
+    let after_loss: f64 = (0..placed.len()).map(|d| capacity(Some(d))).sum();
+    let domain_worths: f64 = placed
         .iter()
         .zip(&input.domains)
         .map(|(mix, n)| {
             let used: usize = mix.iter().zip(&input.models).map(|(c, m)| c * m.size).sum();
             let spares = n.saturating_sub(used).min(2) as f64;
-            let kinds = mix.iter().filter(|c| **c > 0).count();
-            0.02 * spares.sqrt() + 0.015 * kinds.saturating_sub(1) as f64
+            let model_count = mix.iter().filter(|c| **c > 0).count();
+            0.02 * spares.sqrt() + 0.015 * model_count.saturating_sub(1) as f64
         })
         .sum();
     let scenarios = placed.len() as f64;
-    (capacity(None) * scenarios + lost) / (2.0 * scenarios) + rooms / scenarios
+    (capacity(None) * scenarios + after_loss) / (2.0 * scenarios) + domain_worths / scenarios
 }
 
 proptest::proptest! {
-    /// No domain can be filled better by itself.
+    /// Changing the groups of any single domain doesn't raise the worth.
     #[test]
     fn placing_ends_where_no_single_domain_can_be_filled_better(
         domains in proptest::collection::vec(0usize..20, 1..6),
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -1,4 +1,4 @@
-//! Groups: found lost, given up, formed anew. Rules TWO and PARTIAL.
+//! Repair of groups: how losses are found, and how groups end and form again.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
     addr, engine, keep_busy, open_group, order, routing, run, seat, Router, MODEL,
 };
 
-/// Three open, two spares that hold the model.
+/// An open group of three, and two spares that hold its model.
 fn fleet() -> Vec<(InstanceId, EndpointEntry)> {
     let mut entries = open_group("g", [1, 2, 3]);
     entries.extend([engine(4, None), engine(5, None)]);
     entries
 }
 
-/// Makes the planner miss an endpoint.
+/// Makes the planner find an endpoint lost.
 fn lose(router: &mut Router, id: &str) {
     router.looked(id, LookResult::Silent);
     router.looked(id, LookResult::Silent);
@@ -50,7 +50,7 @@
     let effects = router.take();
     let left = leaves(&effects);
     assert_eq!(left.len(), 1, "{effects:?}");
-    assert_eq!(left[0].1, "e1", "the head is told");
+    assert_eq!(left[0].1, "e1", "the head gets the order");
     assert!(!effects.iter().any(
         |e| matches!(order(e), Some((_, _, GroupStep::Join { members, .. })) if members.len() > 1)
     ));
@@ -86,7 +86,7 @@
 }
 
 /// Numbers of the questions to other routers.
-fn asked(router: &mut Router) -> Vec<u64> {
+fn question_numbers(router: &mut Router) -> Vec<u64> {
     let number = |e: &DirectEffect| match e {
         DirectEffect::Tell {
             message: PeerMessage::Ask { number, .. },
@@ -97,15 +97,15 @@
     router.take().iter().filter_map(number).collect()
 }
 
-/// Another router tells what it sees.
-fn seen(router: &mut Router, number: u64, sight: Sight) {
+/// Another router reports its observation.
+fn report(router: &mut Router, number: u64, sight: Sight) {
     let message = PeerMessage::Seen { number, sight };
     let from = addr(801);
     router.tell(DirectEvent::Peer { from, message });
 }
 
-/// Found by pairs of days, further trouble-3 seed 4: a head that was taken away
-/// during an outage of the store had stopped listening and was finishing streams.
+/// A head that leaves during an outage of the store has stopped listening and still finishes
+/// its streams: refused connections alone don't show that it has stopped.
 #[test]
 fn a_head_that_every_router_finds_refusing_may_still_finish_its_streams() {
     for (last, over) in [
@@ -117,10 +117,10 @@
         add_peers(&mut router);
         router.take();
         router.looked("e1", LookResult::Refused);
-        let asked = asked(&mut router);
-        for (n, number) in asked.into_iter().enumerate() {
+        let question_numbers = question_numbers(&mut router);
+        for (n, number) in question_numbers.into_iter().enumerate() {
             let sight = if n == 3 { last } else { Sight::Refuses };
-            seen(&mut router, number, sight);
+            report(&mut router, number, sight);
         }
         router.pass(300);
         assert_eq!(!router.joins().is_empty(), over, "{last:?}");
@@ -133,19 +133,22 @@
     add_peers(&mut router);
     router.take();
     router.looked("e1", LookResult::Refused);
-    for number in asked(&mut router) {
-        seen(&mut router, number, Sight::Alive);
+    for number in question_numbers(&mut router) {
+        report(&mut router, number, Sight::Alive);
     }
     router.pass(2_500);
-    assert!(leaves(&router.take()).is_empty(), "its streams need them");
+    assert!(
+        leaves(&router.take()).is_empty(),
+        "its streams need the members"
+    );
     router.pass(1_000);
     assert!(!leaves(&router.take()).is_empty());
 }
 
-/// A router tells by its own runs whether an endpoint that refuses connections has
-/// died: what runs goes on where it only stops listening, and breaks where it died.
+/// A router's own runs show whether an endpoint that refuses connections has died: they
+/// continue if it has only stopped listening, and break off if it has died.
 #[test]
-fn a_router_tells_an_endpoint_that_stops_listening_from_one_that_died() {
+fn a_router_distinguishes_an_endpoint_that_stops_listening_from_one_that_died() {
     for (end, expected) in [
         (None, Sight::Alive),
         (Some(RunPart::End), Sight::Refuses),
@@ -165,12 +168,13 @@
         let from = addr(802);
         router.tell(DirectEvent::Peer { from, message });
         router.looked(sent.to.as_str(), LookResult::Refused);
-        let told = |e: &DirectEffect| matches!(e, DirectEffect::Tell { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
+        let is_reported = |e: &DirectEffect| matches!(e, DirectEffect::Tell { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
         let effects = router.take();
-        assert!(effects.iter().any(told), "{expected:?}: {effects:?}");
+        assert!(effects.iter().any(is_reported), "{expected:?}: {effects:?}");
     }
 }
 
+/// Some routers may be cut off from a working head together.
 #[test]
 fn a_silent_head_counts_as_open_until_other_routers_miss_it_too() {
     for agree in [true, false] {
@@ -178,36 +182,37 @@
         add_peers(&mut router);
         router.take();
         lose(&mut router, "e1");
-        let asked = asked(&mut router);
-        assert_eq!(asked.len(), 4);
-        for (n, number) in asked.into_iter().enumerate() {
-            // One that sees it is enough to keep it.
+        let question_numbers = question_numbers(&mut router);
+        assert_eq!(question_numbers.len(), 4);
+        for (n, number) in question_numbers.into_iter().enumerate() {
+            // One router that finds it alive is enough to keep it.
             let sight = if !agree && n == 3 {
                 Sight::Alive
             } else {
                 Sight::Silent
             };
-            seen(&mut router, number, sight);
+            report(&mut router, number, sight);
         }
         router.pass(200);
         assert_eq!(!router.joins().is_empty(), agree);
     }
 }
 
+/// Orders to leave may not arrive: the head breaks only after a member has really left.
 #[test]
-fn a_head_that_nobody_vouches_for_counts_as_open_until_it_must_have_broken() {
+fn a_head_whose_stop_is_unconfirmed_counts_as_open_until_it_must_have_broken() {
     let mut router = Router::planner(fleet());
     router.take();
     lose(&mut router, "e1");
     router.pass(1_000);
     let effects = router.take();
-    let told = leaves(&effects);
+    let orders = leaves(&effects);
     for member in ["e2", "e3"] {
-        assert!(told.iter().any(|(_, id)| id == member), "{told:?}");
+        assert!(orders.iter().any(|(_, id)| id == member), "{orders:?}");
     }
     router.pass(6_000);
     assert!(router.joins().is_empty(), "nobody is known to have left");
-    let (order, _) = told[0];
+    let (order, _) = orders[0];
     router.answer_order(order, OrderResult::Done);
     router.pass(3_500);
     assert!(router.joins().is_empty(), "the head may still be open");
@@ -215,11 +220,7 @@
     assert!(!router.joins().is_empty());
 }
 
-/// Also found by a hunt, dop-brno-grown hunt-4bfe-7: some routers are cut off
-/// together, and orders to leave may not arrive.
-///
-/// Found on kyklos-hq trouble-2: after a restart of all routers the list lacked
-/// a living head.
+/// After a restart of all routers the list may lack a head that works.
 #[test]
 fn a_head_that_the_list_lacks_is_not_a_lost_head() {
     let mut entries = fleet();
@@ -231,14 +232,14 @@
     let (id, head) = open_group("g", [1, 2, 3]).remove(0);
     router.change(id.as_str(), Some(head));
     router.pass(300);
-    let told = leaves(&router.take());
+    let orders = leaves(&router.take());
     assert!(
-        told.iter().any(|(_, id)| id == "e1"),
-        "it is told to leave: {told:?}"
+        orders.iter().any(|(_, id)| id == "e1"),
+        "it is ordered to leave: {orders:?}"
     );
 }
 
-/// Found by a hunt, kyklos-hq scale-1 1098609848397.
+/// A member's report may be older than the list: a report without a seat must not free it.
 #[test]
 fn a_report_does_not_free_a_member_that_the_list_shows_in_an_open_group() {
     let mut router = Router::planner(fleet());
@@ -281,7 +282,7 @@
 }
 
 #[test]
-fn an_endpoint_that_left_the_list_is_looked_at_before_its_group_is_touched() {
+fn an_endpoint_that_left_the_list_is_probed_before_its_group_is_changed() {
     let mut router = Router::planner(fleet());
     for id in ["e1", "e2", "e3"] {
         router.looked(id, alive());
@@ -292,9 +293,9 @@
     router.pass(60);
     let effects = router.take();
     assert!(leaves(&effects).is_empty());
-    let looks =
+    let is_probe =
         |e: &&DirectEffect| matches!(e, DirectEffect::Look { id, .. } if id.as_str() == "e2");
-    assert_eq!(effects.iter().filter(looks).count(), 1);
+    assert_eq!(effects.iter().filter(is_probe).count(), 1);
 }
 
 #[test]
@@ -311,10 +312,10 @@
     assert!(leaves(&effects).is_empty());
 }
 
-/// Found by the whole path over real processes: a router that had heard the head
-/// just before it died vouched for it, and the repair took 4 s longer.
+/// A router that had heard the head just before the head died reported it alive from memory,
+/// and the repair took 4 s longer.
 #[test]
-fn a_router_that_is_asked_looks_and_does_not_answer_from_memory() {
+fn a_router_that_is_asked_probes_and_does_not_answer_from_memory() {
     let mut router = Router::new(fleet());
     let sent = crate::fixture::run(&router.ask(1, "/stream/x"));
     router.part(sent.run, runrail::logic::direct::RunPart::Head);
@@ -326,19 +327,19 @@
     let from = addr(802);
     router.tell(DirectEvent::Peer { from, message });
     let effects = router.take();
-    let looks = |e: &DirectEffect| matches!(e, DirectEffect::Look { .. });
-    assert!(effects.iter().any(looks), "{effects:?}");
+    let is_probe = |e: &DirectEffect| matches!(e, DirectEffect::Look { .. });
+    assert!(effects.iter().any(is_probe), "{effects:?}");
     router.looked("e1", LookResult::Silent);
     let message = PeerMessage::Seen {
         number: 77,
         sight: Sight::Silent,
     };
-    let told = DirectEffect::Tell { to: from, message };
-    assert!(router.take().contains(&told));
+    let reply = DirectEffect::Tell { to: from, message };
+    assert!(router.take().contains(&reply));
 }
 
-/// Found on dop-brno-grown scale-1: a member that was cut from the store had told
-/// itself that it was ready; once the group was open it counted as free.
+/// Guards against a member of an open group that counts as free: it is cut off from the
+/// store, so that only its own report shows its seat, and the list shows an older entry.
 #[test]
 fn a_member_that_the_list_lags_behind_is_not_free_once_its_group_is_open() {
     let entries = vec![
@@ -350,22 +351,22 @@
     ];
     let mut router = Router::planner(entries);
     router.pass(100);
-    // The list's word on the third member is from before it joined.
+    // The list shows the third member as it was before it joined.
     router.change("e3", Some(engine(3, None).1));
-    let told = seat("g", 2, SeatState::Ready);
-    let told = LookResult::Alive {
+    let reported = seat("g", 2, SeatState::Ready);
+    let reported = LookResult::Alive {
         born: None,
-        seat: told,
+        seat: reported,
         pace: 1_000,
     };
-    router.looked("e3", told);
+    router.looked("e3", reported);
     router.take();
     router.change("e1", Some(engine(1, seat("g", 0, SeatState::Open)).1));
     router.pass(300);
     assert!(router.joins().is_empty(), "it belongs to the open group");
 }
 
-/// Members that join a group; what they join for isn't shown yet.
+/// Members that join a group whose model their entries don't show yet.
 fn joining(numbers: &[u16]) -> Vec<(InstanceId, EndpointEntry)> {
     let member = |(rank, n): (usize, &u16)| {
         let (id, mut entry) = engine(*n, seat("g", rank, SeatState::Joining));
@@ -403,7 +404,7 @@
 }
 
 #[test]
-fn a_pause_of_a_working_head_has_its_members_looked_at_and_moves_nothing() {
+fn a_pause_of_a_working_head_has_its_group_probed_and_moves_nothing() {
     let mut router = Router::planner(fleet());
     for id in ["e1", "e2", "e3"] {
         router.looked(id, alive());
@@ -412,18 +413,18 @@
     let effects = router.ask(1, "/stream/x");
     assert_eq!(run(&effects).to.as_str(), "e1");
     router.pass(180);
-    let looked = |e: &DirectEffect| match e {
+    let probed_id = |e: &DirectEffect| match e {
         DirectEffect::Look { id, .. } => Some(id.to_string()),
         _ => None,
     };
-    let mut ids: Vec<_> = router.take().iter().filter_map(looked).collect();
+    let mut ids: Vec<_> = router.take().iter().filter_map(probed_id).collect();
     ids.sort();
     assert_eq!(ids, ["e1", "e2", "e3"]);
     let effects = router.ask(2, "/stream/x");
     assert_eq!(run(&effects).to.as_str(), "e1", "a pause is no silence");
 }
 
-/// Routing where nobody asks for the small model.
+/// Routing in which the small model has no share.
 fn routing_for_one_model() -> Routing {
     let mut routing = routing(2);
     let pool = routing.services.get_mut("pool").expect("the pool");
@@ -485,7 +486,11 @@
     let left = leaves(&router.take());
     router.answer_order(left[0].0, OrderResult::Done);
     router.pass(200);
-    assert_eq!(router.joins(), [], "one more and the large model is back");
+    assert_eq!(
+        router.joins(),
+        [],
+        "the large model lacks only one more endpoint"
+    );
 }
 
 /// Routing with a large model of sixteen and a small one of four, of even share.
@@ -515,8 +520,8 @@
     (0..size).map(member).collect()
 }
 
-/// Found by an incident of the users: a domain lost one member of the large group,
-/// and its other fifteen were spread over small ones.
+/// Guards against spreading the fifteen survivors of a large group over small groups after
+/// its domain has lost one member.
 #[test]
 fn a_small_group_is_given_up_before_survivors_of_a_large_one_are_spread() {
     let mut entries = group_of(MODEL, "d1", 100, 16);
@@ -542,5 +547,5 @@
     });
     assert_eq!(closed.as_deref(), Some("e200"), "{effects:?}");
     router.pass(1_000);
-    assert_eq!(router.joins(), [], "they wait for it to finish");
+    assert_eq!(router.joins(), [], "the survivors wait for its members");
 }
--- a/tests/direct/staging.rs
+++ b/tests/direct/staging.rs
@@ -1,11 +1,11 @@
-//! Which models spares and members hold ready.
+//! Which models spares and members load in advance.
 
 use runrail::logic::direct::{DirectEffect, GroupStep};
 use runrail::types::{EndpointEntry, InstanceId, SeatState};
 
 use crate::fixture::{engine, open_group, order, seat, Router};
 
-/// A spare that has left a group of the model while its host holds another one.
+/// A spare without a group, whose host stores the small model.
 fn spare_with_two(n: u16) -> (InstanceId, EndpointEntry) {
     let (id, mut entry) = engine(n, None);
     entry.model = None;
@@ -13,7 +13,7 @@
     (id, entry)
 }
 
-/// Models that endpoints were told to hold, in a group of their own.
+/// Endpoints that were ordered to hold a model in a group of their own, with the model.
 fn held(effects: &[DirectEffect]) -> Vec<(String, String)> {
     let alone = |e| match order(e) {
         Some((_, id, GroupStep::Join { members, model, .. })) if members.len() == 1 => {
@@ -47,8 +47,8 @@
     assert_eq!(held[0], ("e4".to_string(), "small".to_string()));
 }
 
-/// A planner that takes over doesn't know what a spare holds that was there before: the
-/// order to hold what its host keeps would drive that out.
+/// A new planner doesn't know which model a spare holds that was there before: an order to
+/// hold the one on its host would evict that.
 #[test]
 fn a_spare_that_was_there_before_this_router_is_not_told_to_hold_what_its_host_keeps() {
     let mut entries = open_group("g", [1, 2, 3]);
@@ -58,7 +58,7 @@
     assert_eq!(held(&router.take()), []);
 }
 
-/// The large model has no group; one of two keeps it in the second domain.
+/// The large model has no group, and one of two hosts in the second domain stores it.
 #[test]
 fn loads_go_to_the_model_that_is_short_where_most_can_serve_it() {
     let mut entries = Vec::new();
@@ -86,8 +86,8 @@
     assert_eq!(first, Some(("e3".to_string(), "big".to_string())));
 }
 
-/// Found by a day drawn just now on further-grown, fresh-1a39 (rule CEILING): loads
-/// that a planner began at once came on top of those of the planner before it.
+/// Guards against loads above the published rate: loads that a new planner begins at once
+/// come on top of those of its predecessor.
 #[test]
 fn a_planner_that_takes_over_begins_loads_no_faster_than_the_rate() {
     let empty = |n: u16| {
