--- a/src/logic/direct/plan/model_load.rs
+++ b/src/logic/direct/plan/model_load.rs
@@ -103,8 +103,8 @@
     /// Mean credit of a request if one group gets `rate` requests per second.
     fn credit(&self, rate: f64) -> f64 {
         let rate_per_ms = rate / 1_000.0;
-        let read_ms = self.prompt_tokens * self.read_ms;
-        let utilization = rate_per_ms * (read_ms + self.answer_tokens * self.sequence_ms);
+        let prompt_read_ms = self.prompt_tokens * self.read_ms;
+        let utilization = rate_per_ms * (prompt_read_ms + self.answer_tokens * self.sequence_ms);
         if utilization >= MAX_UTILIZATION_FACTOR {
             return 0.0;
         }
@@ -114,9 +114,13 @@
         let running = rate_per_ms * passes * pass_ms;
         // Variance of the time spent on reading within one pass.
         let variance = rate_per_ms * pass_ms * self.prompt_square * self.read_ms.powi(2);
-        let pause_late = tail_bound(self.pause_ms - pass_ms, variance, read_ms);
-        let first_slack_ms = self.first_ms - PASSES_TO_FIRST_TOKEN * pass_ms - read_ms;
-        let start_late = tail_bound(first_slack_ms, PASSES_TO_FIRST_TOKEN * variance, read_ms);
+        let pause_late = tail_bound(self.pause_ms - pass_ms, variance, prompt_read_ms);
+        let first_slack_ms = self.first_ms - PASSES_TO_FIRST_TOKEN * pass_ms - prompt_read_ms;
+        let start_late = tail_bound(
+            first_slack_ms,
+            PASSES_TO_FIRST_TOKEN * variance,
+            prompt_read_ms,
+        );
         let slots_full = tail_bound(self.slots - running, running, 1.0);
         let duration_s = (passes + PASSES_TO_FIRST_TOKEN) * pass_ms / 1_000.0;
         let group_lasts = (-self.loss_rate * duration_s).exp();
