--- a/src/logic/direct/plan/place.rs
+++ b/src/logic/direct/plan/place.rs
@@ -41,9 +41,10 @@
 
 /// The number of groups of each model that each domain should have, by domain and model.
 ///
-/// Maximizes the capacity of each model, both with all domains and after the loss of any one
-/// of them, together with the worth of spares for repairs and of domains with several models,
-/// whose groups can be traded. Improves one domain at a time until none can be improved.
+/// The worth of a placement is the capacity of each model, both with all domains and after
+/// the loss of any one of them, with that of spares for repairs and of domains with several
+/// models, whose groups can be traded. Raises it one domain at a time, until no single domain
+/// can be improved or `MAX_ROUNDS` is reached.
 pub fn place(input: &PlaceInput) -> Vec<Vec<usize>> {
     let sizes: Vec<usize> = input.models.iter().map(|m| m.size).collect();
     let mut mixes_by_size: BTreeMap<usize, Vec<Vec<usize>>> = BTreeMap::new();
