--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -71,7 +71,7 @@
             on_restart(state, now, &id, &entry, out);
         }
     }
-    let entry = plan::corrected(state, &id, entry);
+    let entry = plan::apply_known_seat(state, &id, entry);
     let Some(view) = state.endpoints.get_mut(&id) else {
         // The first reading is logged as a whole, not endpoint by endpoint.
         if state.listed_once {
@@ -158,7 +158,7 @@
         },
     );
     digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
-    plan::started_again(state, now, id, before.entry.seat.as_ref(), out);
+    plan::on_endpoint_restarted(state, now, id, before.entry.seat.as_ref(), out);
 }
 
 /// Applies a probe result that shows a later start of the endpoint than its entry does: the
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -222,10 +222,10 @@
         }
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
-        PeerMessage::Silent { id } => plan::suspect(state, now, &id, out),
+        PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rates::on_peer_rate(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::on_crash_reports(state, now, &reports, out),
-        PeerMessage::Seen { number, sight } => plan::seen(state, number, sight),
+        PeerMessage::Seen { number, sight } => plan::on_observation(state, number, sight),
     }
 }
 
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -65,7 +65,7 @@
     }
     for id in suspected {
         if state.plan.duty.holds(now) {
-            plan::suspect(state, now, &id, out);
+            plan::on_head_silent(state, now, &id, out);
         } else {
             peers::notify_silence(state, &id, out);
         }
@@ -75,7 +75,7 @@
     }
     move_from_ended_groups(state, now, out);
     for (id, lost) in silent {
-        if lost || plan::given_up(state, &id) {
+        if lost || plan::is_in_retired_group(state, &id) {
             move_streams(state, now, &id, false, out);
         }
     }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -22,13 +22,13 @@
         Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
             crashes::on_store_reply(state, now, &result);
         }
-        Event::Store { call, result } => plan::answered(state, now, call, result, out),
+        Event::Store { call, result } => plan::on_store_reply(state, now, call, result, out),
         Event::Watch(changes) => {
             peers::on_watch_changes(state, &changes);
             crashes::on_watch_changes(state, now, &changes, out);
-            plan::changed(state, now, &changes);
+            plan::on_watch_changes(state, now, &changes);
         }
-        Event::WatchLost => plan::unwatched(state),
+        Event::WatchLost => plan::on_watch_lost(state),
         Event::Direct(event) => on_direct_event(state, now, event, out),
         Event::Tick => on_tick(state, now, out),
         _ => {}
@@ -84,10 +84,12 @@
         DirectEvent::Looked { id, result } => {
             peers::on_probe_result(state, now, &id, &result, out);
             crashes::on_probe_result(state, now, &id, &result, out);
-            plan::looked(state, now, &id, result, out);
+            plan::on_probe_result(state, now, &id, result, out);
         }
         DirectEvent::Peer { from, message } => peers::on_message(state, now, from, message, out),
-        DirectEvent::Ordered { order, result } => plan::ordered(state, now, order, result, out),
+        DirectEvent::Ordered { order, result } => {
+            plan::on_order_result(state, now, order, result, out)
+        }
     }
 }
 
@@ -139,7 +141,7 @@
     peers::on_tick(state, now, out);
     crashes::on_tick(state, now, out);
     demand::on_tick(state, now, out);
-    plan::tend(state, now, out);
+    plan::on_tick(state, now, out);
     advance_shutdown(state, now, out);
 }
 
--- a/src/logic/direct/store.rs
+++ b/src/logic/direct/store.rs
@@ -25,5 +25,5 @@
     digests.list_until = 0;
     digests.routing_until = 0;
     crashes::on_store_restored(state, now);
-    plan::restored(state, now, out);
+    plan::on_store_restored(state, now, out);
 }
