--- a/src/logic/router/accept.rs
+++ b/src/logic/router/accept.rs
@@ -9,14 +9,14 @@
 use crate::types::{AccountSpec, BundleBody, ClassSpec, Millis};
 
 /// Takes a request or refuses it at once.
-pub(super) fn arrived(
+pub(super) fn on_request(
     state: &mut RouterState,
     now: Millis,
     call: CallerRequest,
     out: &mut Vec<Effect>,
 ) {
     let id = call.id;
-    match examine(state, now, call) {
+    match admit(state, now, call) {
         Ok(request) => {
             *state.accounts.entry(request.account.clone()).or_insert(0) += 1;
             state.requests.insert(id, request);
@@ -27,7 +27,7 @@
             if problem.retry_ms.is_some() {
                 problem.retry_ms = Some(state.spread(state.knobs.hint_ms));
             }
-            finish::note_problem(id, &problem, out);
+            finish::log_problem(id, &problem, out);
             out.push(Effect::Answer {
                 request: id,
                 part: AnswerPart::Problem(problem),
@@ -36,7 +36,7 @@
     }
 }
 
-fn examine(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
+fn admit(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
     let hint = state.knobs.hint_ms;
     if state.stopping {
         return Err(Problem::not_run(503, "this router is stopping; ask again").retry_in(hint));
@@ -44,7 +44,7 @@
     let Some(bundle) = state.bundle() else {
         return Err(Problem::not_run(503, "no bundle is in force yet").retry_in(hint));
     };
-    if !head::proven(state, now) {
+    if !head::is_proven(state, now) {
         let detail = "this router can't prove that its bundle is the newest";
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
@@ -53,7 +53,7 @@
     let class = find_class(body, account, &call)?;
     check_model(body, &call)?;
     check_limits(state, account)?;
-    let once = once_claim(account, class, &call)?;
+    let once = new_claim(account, class, &call)?;
     let left = call.deadline_ms.unwrap_or(class.deadline_ms);
     if left == 0 {
         return Err(Problem::not_run(400, "the deadline has passed already"));
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-fn once_claim(
+fn new_claim(
     account: &AccountSpec,
     class: &ClassSpec,
     call: &CallerRequest,
--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -12,23 +12,23 @@
 /// Longest time between two looks at the set of agents to dial, in milliseconds.
 ///
 /// Changes of records, of the list and of a leader's session bring it forward.
-const DIAL_EVERY: Millis = 10_000;
+const DIAL_INTERVAL_MS: Millis = 10_000;
 
 /// Time in which changes are gathered before the set is looked at, in milliseconds.
-const GATHER: Millis = 50;
+const DIAL_DELAY_MS: Millis = 50;
 
 /// Brings the next look at the set of agents forward.
-pub(super) fn look_soon(state: &mut RouterState, now: Millis) {
-    state.dial_at = state.dial_at.min(now + GATHER);
+pub(super) fn schedule_dial(state: &mut RouterState, now: Millis) {
+    state.dial_at = state.dial_at.min(now + DIAL_DELAY_MS);
 }
 
 /// Dials the agents that are needed and hangs up on the others.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if now < state.dial_at {
         return;
     }
-    state.dial_at = now + DIAL_EVERY;
-    let wanted = wanted(state);
+    state.dial_at = now + DIAL_INTERVAL_MS;
+    let wanted = wanted_agents(state);
     let unwanted: Vec<_> = state
         .agents
         .keys()
@@ -52,7 +52,7 @@
     }
 }
 
-fn wanted(state: &RouterState) -> BTreeMap<InstanceId, SocketAddr> {
+fn wanted_agents(state: &RouterState) -> BTreeMap<InstanceId, SocketAddr> {
     let mut wanted = BTreeMap::new();
     let mut far: BTreeMap<Arc<str>, Vec<(u64, &GroupRecord)>> = BTreeMap::new();
     for (record, _) in state.fleet.domains.values() {
@@ -61,7 +61,7 @@
                 let leader = group.leader();
                 wanted.insert(leader.instance.clone(), leader.addr);
             } else {
-                let rank = rendezvous(&state.me, group);
+                let rank = rendezvous_rank(&state.me, group);
                 far.entry(group.model.clone())
                     .or_default()
                     .push((rank, group));
@@ -90,7 +90,7 @@
 }
 
 /// Spreads the far groups of a model over the routers.
-fn rendezvous(me: &InstanceId, group: &GroupRecord) -> u64 {
+fn rendezvous_rank(me: &InstanceId, group: &GroupRecord) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     me.hash(&mut hasher);
@@ -99,7 +99,12 @@
 }
 
 /// A session with an agent has opened.
-pub(super) fn up(state: &mut RouterState, now: Millis, peer: &Peer, out: &mut Vec<Effect>) {
+pub(super) fn on_agent_up(
+    state: &mut RouterState,
+    now: Millis,
+    peer: &Peer,
+    out: &mut Vec<Effect>,
+) {
     let Some(view) = state.agents.get_mut(&peer.id) else {
         return;
     };
@@ -108,9 +113,9 @@
     view.bundle = 0;
     if before.is_some() {
         // A new session in place of the old one: what was sent there may be lost.
-        sending::agent_lost(state, now, &peer.id, out);
+        sending::on_agent_lost(state, now, &peer.id, out);
     }
-    push_brief_to(state, &peer.id, out);
+    send_brief(state, &peer.id, out);
     let leads: Vec<_> = state
         .fleet
         .groups()
@@ -118,14 +123,19 @@
         .cloned()
         .collect();
     for record in leads {
-        out.push(assign(record));
+        out.push(assign_record(record));
     }
-    tell_leaving(state, &peer.id, out);
-    recalling::agent_up(state, now, peer, out);
+    notify_leaving(state, &peer.id, out);
+    recalling::on_agent_up(state, now, peer, out);
 }
 
 /// A session with an agent has closed.
-pub(super) fn down(state: &mut RouterState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
+pub(super) fn on_agent_down(
+    state: &mut RouterState,
+    now: Millis,
+    id: &InstanceId,
+    out: &mut Vec<Effect>,
+) {
     let Some(view) = state.agents.get_mut(id) else {
         return;
     };
@@ -133,12 +143,12 @@
     view.report = None;
     view.down_since = now;
     // A planner dials a second member where a leader can't be reached.
-    look_soon(state, now);
-    sending::agent_lost(state, now, id, out);
+    schedule_dial(state, now);
+    sending::on_agent_lost(state, now, id, out);
 }
 
 /// An agent has reported.
-pub(super) fn reported(
+pub(super) fn on_report(
     state: &mut RouterState,
     now: Millis,
     from: &InstanceId,
@@ -157,7 +167,7 @@
     view.report = Some(report);
     let behind = view.bundle < state.number();
     if behind {
-        push_brief_to(state, from, out);
+        send_brief(state, from, out);
     }
     let Some(view) = state.agents.get(from) else {
         return;
@@ -169,11 +179,11 @@
     if let Some(load) = state.loads.get_mut(&lead.group) {
         load.since_report = 0;
     }
-    correct(state, from, &lead.group, lead.epoch, out);
+    correct_leader(state, from, &lead.group, lead.epoch, out);
 }
 
 /// A leader has told its load.
-pub(super) fn loaded(state: &mut RouterState, from: &InstanceId, load: LoadReport) {
+pub(super) fn on_load_report(state: &mut RouterState, from: &InstanceId, load: LoadReport) {
     let report = state.agents.get_mut(from).and_then(|a| a.report.as_mut());
     let Some(lead) = report.and_then(|r| r.lead.as_mut()) else {
         return;
@@ -189,7 +199,7 @@
 }
 
 /// Tells a leader when its record has moved on or is gone.
-fn correct(
+fn correct_leader(
     state: &RouterState,
     leader: &InstanceId,
     group: &crate::types::GroupId,
@@ -198,27 +208,27 @@
 ) {
     match state.fleet.group(group) {
         Some(record) if record.epoch > epoch && &record.leader().instance == leader => {
-            out.push(assign(record.clone()));
+            out.push(assign_record(record.clone()));
         }
         Some(record) if record.epoch <= epoch => {}
         // Gone, or led by another now. A record older than the group proves nothing.
         _ => {
             let passed = state.fleet.domains.get(&group.domain);
             if passed.is_some_and(|(d, _)| d.epoch >= epoch) {
-                out.push(release(leader, group, epoch));
+                out.push(release_group(leader, group, epoch));
             }
         }
     }
 }
 
-fn assign(record: GroupRecord) -> Effect {
+fn assign_record(record: GroupRecord) -> Effect {
     Effect::Send {
         to: record.leader().instance.clone(),
         message: Message::Assign(Box::new(record)),
     }
 }
 
-fn release(leader: &InstanceId, group: &crate::types::GroupId, epoch: u64) -> Effect {
+fn release_group(leader: &InstanceId, group: &crate::types::GroupId, epoch: u64) -> Effect {
     Effect::Send {
         to: leader.clone(),
         message: Message::Release {
@@ -229,31 +239,31 @@
 }
 
 /// Tells every leader of a domain what its record says now.
-pub(super) fn tell_leaders(state: &RouterState, domain: &Arc<str>, out: &mut Vec<Effect>) {
+pub(super) fn notify_leaders(state: &RouterState, domain: &Arc<str>, out: &mut Vec<Effect>) {
     let Some((record, _)) = state.fleet.domains.get(domain) else {
         return;
     };
     for group in &record.groups {
-        out.push(assign(group.clone()));
+        out.push(assign_record(group.clone()));
     }
     for (id, view) in &state.agents {
         let lead = view.report.as_ref().and_then(|r| r.lead.as_ref());
         if let Some(lead) = lead.filter(|l| &l.group.domain == domain) {
-            correct(state, id, &lead.group, lead.epoch, out);
+            correct_leader(state, id, &lead.group, lead.epoch, out);
         }
     }
 }
 
 /// Gives every agent the bundle in force.
-pub(super) fn push_brief(state: &mut RouterState, out: &mut Vec<Effect>) {
+pub(super) fn broadcast_brief(state: &mut RouterState, out: &mut Vec<Effect>) {
     let ids: Vec<_> = state.agents.keys().cloned().collect();
     for id in ids {
-        push_brief_to(state, &id, out);
+        send_brief(state, &id, out);
     }
 }
 
 /// Gives one agent the bundle in force, where it may not have it.
-pub(super) fn push_brief_to(state: &mut RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
+pub(super) fn send_brief(state: &mut RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
     let Some(bundle) = state.bundle().cloned() else {
         return;
     };
@@ -271,7 +281,7 @@
 }
 
 /// Passes the platform's word on to an instance that is leaving.
-pub(super) fn tell_leaving(state: &RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
+pub(super) fn notify_leaving(state: &RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
     let leaving = state.instances.get(id).is_some_and(|i| !i.is_live());
     let known = state
         .agents
--- a/src/logic/router/budget.rs
+++ b/src/logic/router/budget.rs
@@ -6,27 +6,28 @@
 /// would add to what all routers send together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RetryBudget {
-    thousandths: u64,
+    milli_tokens: u64,
 }
 
 impl RetryBudget {
     /// One retry for each ten requests.
-    const PER_REQUEST: u64 = 100;
+    const EARNED_MILLI_TOKENS: u64 = 100;
     /// Price of a retry.
-    const PER_RETRY: u64 = 1_000;
+    const RETRY_MILLI_TOKENS: u64 = 1_000;
     /// Most that is saved up: fifty retries.
-    const MOST: u64 = 50_000;
+    const MAX_MILLI_TOKENS: u64 = 50_000;
 
     /// Counts a request.
     pub fn earn(&mut self) {
-        self.thousandths = (self.thousandths + Self::PER_REQUEST).min(Self::MOST);
+        self.milli_tokens =
+            (self.milli_tokens + Self::EARNED_MILLI_TOKENS).min(Self::MAX_MILLI_TOKENS);
     }
 
     /// Pays for a retry, where there is enough.
     pub fn spend(&mut self) -> bool {
-        let enough = self.thousandths >= Self::PER_RETRY;
+        let enough = self.milli_tokens >= Self::RETRY_MILLI_TOKENS;
         if enough {
-            self.thousandths -= Self::PER_RETRY;
+            self.milli_tokens -= Self::RETRY_MILLI_TOKENS;
         }
         enough
     }
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -4,20 +4,20 @@
 use crate::types::{InstanceId, Millis};
 
 /// Batches of claims under way at once.
-const FLYING_LIMIT: usize = 4;
+const MAX_BATCHES_IN_FLIGHT: usize = 4;
 /// Time after which a claim that another router was to write is written here.
-const AWAY_LIMIT: Millis = 1_000;
+const FORWARD_TIMEOUT_MS: Millis = 1_000;
 
 /// How much longer an agent remembers a key than its claim is meant to live.
 ///
 /// An agent that had forgotten a key whose claim still stood would say that it
 /// never ran. A claim lives up to 1.25 times `claim_keep_ms`; the rest is for a
 /// service that lengthens leases when it restarts.
-const MEMORY_FACTOR: Millis = 4;
+const RETENTION_FACTOR: Millis = 4;
 
 /// How long an agent has to remember a key.
-pub(super) fn memory_ms(state: &RouterState) -> Millis {
-    state.knobs.claim_keep_ms * MEMORY_FACTOR
+pub(super) fn retention_ms(state: &RouterState) -> Millis {
+    state.knobs.claim_keep_ms * RETENTION_FACTOR
 }
 
 /// A claim that waits for the next write.
@@ -62,7 +62,7 @@
 pub(super) fn add(state: &mut RouterState, now: Millis, write: ClaimWrite, out: &mut Vec<Effect>) {
     match claim_writers::writer(state, &write.key) {
         Some(writer) => {
-            let until = now + AWAY_LIMIT;
+            let until = now + FORWARD_TIMEOUT_MS;
             state.claims.away.push(AwayClaim {
                 write: write.clone(),
                 until,
@@ -72,23 +72,23 @@
                 message: Message::ClaimAsk(vec![write]),
             });
         }
-        None => wait(state, now, write, None),
+        None => enqueue(state, now, write, None),
     }
 }
 
 /// Adds the claims of another router to the next write.
-pub(super) fn add_guests(
+pub(super) fn add_forwarded(
     state: &mut RouterState,
     now: Millis,
     from: &InstanceId,
     writes: Vec<ClaimWrite>,
 ) {
     for write in writes {
-        wait(state, now, write, Some(from.clone()));
+        enqueue(state, now, write, Some(from.clone()));
     }
 }
 
-fn wait(state: &mut RouterState, now: Millis, write: ClaimWrite, guest: Option<InstanceId>) {
+fn enqueue(state: &mut RouterState, now: Millis, write: ClaimWrite, guest: Option<InstanceId>) {
     if state.claims.waiting.is_empty() {
         state.claims.due = now + state.knobs.claim_ms;
     }
@@ -96,44 +96,44 @@
 }
 
 /// Takes a claim off the list of those that another router writes.
-pub(super) fn back(state: &mut RouterState, write: &ClaimWrite) -> bool {
+pub(super) fn remove_forwarded(state: &mut RouterState, write: &ClaimWrite) -> bool {
     let before = state.claims.away.len();
     state.claims.away.retain(|a| &a.write != write);
     state.claims.away.len() < before
 }
 
 /// Writes what is due and renews the lease.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     renew_lease(state, now, out);
-    take_back(state, now);
+    requeue_overdue(state, now);
     let full = state.claims.waiting.len() >= state.knobs.claim_batch as usize;
     let due = !state.claims.waiting.is_empty() && (full || now >= state.claims.due);
     let flying = state.calls.values();
     let flying = flying.filter(|p| matches!(p, Purpose::Claims(_))).count();
-    if !due || flying >= FLYING_LIMIT {
+    if !due || flying >= MAX_BATCHES_IN_FLIGHT {
         return;
     }
     let Some(lease) = state.claims.lease else {
         return;
     };
-    let writes = next_writes(state);
-    let op = swap(&writes, lease);
+    let writes = take_batch(state);
+    let op = batch_swap(&writes, lease);
     state.call(Purpose::Claims(writes), op, out);
 }
 
 /// Writes here what another router hasn't answered in time.
-fn take_back(state: &mut RouterState, now: Millis) {
+fn requeue_overdue(state: &mut RouterState, now: Millis) {
     let away = std::mem::take(&mut state.claims.away);
     let (late, rest) = away.into_iter().partition(|a| now >= a.until);
     state.claims.away = rest;
     let late: Vec<AwayClaim> = late;
     for claim in late {
-        wait(state, now, claim.write, None);
+        enqueue(state, now, claim.write, None);
     }
 }
 
 /// Takes writes for one swap; a key may stand in it only once.
-fn next_writes(state: &mut RouterState) -> Vec<WaitingClaim> {
+fn take_batch(state: &mut RouterState) -> Vec<WaitingClaim> {
     let limit = state.knobs.claim_batch as usize;
     let mut taken: Vec<WaitingClaim> = Vec::new();
     let mut left = Vec::new();
@@ -149,7 +149,7 @@
     taken
 }
 
-fn swap(claims: &[WaitingClaim], lease: i64) -> StoreCall {
+fn batch_swap(claims: &[WaitingClaim], lease: i64) -> StoreCall {
     let writes = claims.iter().map(|c| &c.write);
     let checks = writes.clone().map(|w| Check {
         key: Keys::claim(&w.key),
--- a/src/logic/router/claiming.rs
+++ b/src/logic/router/claiming.rs
@@ -90,7 +90,7 @@
 }
 
 /// A write of claims has ended: own ones are settled, those of guests answered.
-pub(super) fn written(
+pub(super) fn on_batch_written(
     state: &mut RouterState,
     now: Millis,
     claims: Vec<WaitingClaim>,
@@ -99,13 +99,13 @@
 ) {
     let mut answers: BTreeMap<InstanceId, Vec<(ClaimWrite, ClaimVerdict)>> = BTreeMap::new();
     for claim in claims {
-        let verdict = verdict(&claim.write, &result);
+        let verdict = verdict_of(&claim.write, &result);
         match claim.guest {
             Some(router) => answers
                 .entry(router)
                 .or_default()
                 .push((claim.write, verdict)),
-            None => settle(state, now, claim.write, verdict, out),
+            None => on_verdict(state, now, claim.write, verdict, out),
         }
     }
     for (to, answers) in answers {
@@ -115,7 +115,7 @@
 }
 
 /// Another router has written own claims, or hasn't.
-pub(super) fn replied(
+pub(super) fn on_claim_reply(
     state: &mut RouterState,
     now: Millis,
     answers: Vec<(ClaimWrite, ClaimVerdict)>,
@@ -123,13 +123,13 @@
 ) {
     for (write, verdict) in answers {
         // A claim that was taken back meanwhile is settled by its own write.
-        if claim_batch::back(state, &write) {
-            settle(state, now, write, verdict, out);
+        if claim_batch::remove_forwarded(state, &write) {
+            on_verdict(state, now, write, verdict, out);
         }
     }
 }
 
-fn verdict(write: &ClaimWrite, result: &StoreResult) -> ClaimVerdict {
+fn verdict_of(write: &ClaimWrite, result: &StoreResult) -> ClaimVerdict {
     match result {
         Ok(StoreReply::Swapped {
             done: true,
@@ -149,18 +149,18 @@
     }
 }
 
-fn settle(
+fn on_verdict(
     state: &mut RouterState,
     now: Millis,
     write: ClaimWrite,
     verdict: ClaimVerdict,
     out: &mut Vec<Effect>,
 ) {
-    if !waits_for(state, &write) {
+    if !is_waiting_for(state, &write) {
         return;
     }
     match verdict {
-        ClaimVerdict::Taken(revision) => taken(state, now, &write, revision, out),
+        ClaimVerdict::Taken(revision) => on_claim_taken(state, now, &write, revision, out),
         ClaimVerdict::Unknown => claim_batch::add(state, now, write, out),
         ClaimVerdict::Stands { revision, .. } if revision == write.revision => {
             claim_batch::add(state, now, write, out);
@@ -170,9 +170,9 @@
             record: Some(record),
         } => {
             if record == write.record {
-                taken(state, now, &write, revision, out);
+                on_claim_taken(state, now, &write, revision, out);
             } else {
-                found(state, now, &write, &record, revision, out);
+                on_claim_found(state, now, &write, &record, revision, out);
             }
         }
         // The claim has run out while this request waited: the key is new again.
@@ -184,7 +184,7 @@
 }
 
 /// Whether the request still waits for this very write.
-fn waits_for(state: &RouterState, write: &ClaimWrite) -> bool {
+fn is_waiting_for(state: &RouterState, write: &ClaimWrite) -> bool {
     let Some(request) = state.requests.get(&write.request) else {
         return false;
     };
@@ -200,7 +200,7 @@
 }
 
 /// The claim stands as this request wrote it.
-fn taken(
+fn on_claim_taken(
     state: &mut RouterState,
     now: Millis,
     write: &ClaimWrite,
@@ -223,7 +223,9 @@
         .with("agent", &write.record.agent);
     out.push(Effect::Note(note));
     match request.stage.clone() {
-        Stage::Releasing(problem) => finish::end_with(state, now, write.request, *problem, out),
+        Stage::Releasing(problem) => {
+            finish::end_with_problem(state, now, write.request, *problem, out)
+        }
         Stage::Claiming { agent, group } => {
             send_claimed(state, now, write, &agent, &group, out);
         }
@@ -250,7 +252,7 @@
 }
 
 /// The claim stands as another request wrote it.
-fn found(
+fn on_claim_found(
     state: &mut RouterState,
     now: Millis,
     write: &ClaimWrite,
@@ -274,7 +276,7 @@
     if record.content != once.content {
         let detail = "this Idempotency-Key was used for another request";
         let problem = Problem::not_run(422, detail);
-        return finish::end_with(state, now, write.request, problem, out);
+        return finish::end_with_problem(state, now, write.request, problem, out);
     }
     // A request that has met the claim before was there when it was given back;
     // its caller may have been told "not run" through the other router.
@@ -285,7 +287,7 @@
     if record.released && met_before {
         let detail = "another router has given the same request up";
         let problem = Problem::not_run(503, detail).retry_in(state.knobs.hint_ms);
-        return finish::end_with(state, now, write.request, problem, out);
+        return finish::end_with_problem(state, now, write.request, problem, out);
     }
     if record.released {
         request.stage = Stage::Parked(now);
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -60,23 +60,23 @@
         claiming::release(state, now, id, out);
         return;
     }
-    end_with(state, now, id, problem, out);
+    end_with_problem(state, now, id, problem, out);
 }
 
 /// Ends a request with a problem.
-pub(super) fn end_with(
+pub(super) fn end_with_problem(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
     problem: Problem,
     out: &mut Vec<Effect>,
 ) {
-    note_problem(id, &problem, out);
+    log_problem(id, &problem, out);
     close(state, now, id, AnswerPart::Problem(problem), out);
 }
 
 /// Writes the note of a request that wasn't answered.
-pub(super) fn note_problem(id: RequestId, problem: &Problem, out: &mut Vec<Effect>) {
+pub(super) fn log_problem(id: RequestId, problem: &Problem, out: &mut Vec<Effect>) {
     let code = match problem.outcome {
         Outcome::NotRun => NoteCode::RequestNotRun,
         Outcome::Unknown => NoteCode::RequestUnknown,
@@ -96,7 +96,7 @@
     part: AnswerPart,
     out: &mut Vec<Effect>,
 ) {
-    forget(state, id, |account, class, since| {
+    remove_request(state, id, |account, class, since| {
         let (metric, value) = match &part {
             AnswerPart::Problem(p) if p.outcome == Outcome::NotRun => (Metric::NotRun, 1),
             AnswerPart::Problem(p) if p.outcome == Outcome::Unknown => (Metric::Unknown, 1),
@@ -113,7 +113,7 @@
 }
 
 /// Removes a request from all books.
-pub(super) fn forget(
+pub(super) fn remove_request(
     state: &mut RouterState,
     id: RequestId,
     then: impl FnOnce(std::sync::Arc<str>, std::sync::Arc<str>, Millis),
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -8,7 +8,7 @@
 use crate::types::{Approval, Bundle, DomainRecord, GroupId, GroupRecord, Head, Millis};
 
 /// A value of the key-value service with the revision of its last change.
-type Kept<T> = (T, i64);
+type Versioned<T> = (T, i64);
 
 /// A router's copy of what stands below `fleet/`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -16,11 +16,11 @@
     /// Whether it has been read since the start or the last gap.
     pub read: bool,
     /// Domain records by name.
-    pub domains: BTreeMap<Arc<str>, Kept<DomainRecord>>,
+    pub domains: BTreeMap<Arc<str>, Versioned<DomainRecord>>,
     /// Bundles by number.
-    pub bundles: BTreeMap<u64, Kept<Arc<Bundle>>>,
+    pub bundles: BTreeMap<u64, Versioned<Arc<Bundle>>>,
     /// Approvals by number.
-    pub approvals: BTreeMap<u64, Kept<Approval>>,
+    pub approvals: BTreeMap<u64, Versioned<Approval>>,
 }
 
 impl Fleet {
@@ -41,7 +41,7 @@
 }
 
 /// Reads everything, unless that is under way.
-pub(super) fn read(state: &mut RouterState, out: &mut Vec<Effect>) {
+pub(super) fn start_read(state: &mut RouterState, out: &mut Vec<Effect>) {
     state.fleet.read = false;
     if state.calling(|p| *p == Purpose::ReadFleet) {
         return;
@@ -54,7 +54,7 @@
 }
 
 /// Takes up what was read and starts the watch behind it.
-pub(super) fn was_read(
+pub(super) fn on_read(
     state: &mut RouterState,
     now: Millis,
     revision: i64,
@@ -83,12 +83,12 @@
         value: Some(e.value),
         revision: e.revision,
     }));
-    changed(state, now, changes, out);
+    on_changes(state, now, changes, out);
     out.push(Effect::Watch { from: revision + 1 });
 }
 
 /// Takes up changes in order; the head comes last, so that its bundle is known.
-pub(super) fn changed(
+pub(super) fn on_changes(
     state: &mut RouterState,
     now: Millis,
     changes: Vec<StoreChange>,
@@ -99,17 +99,17 @@
         if change.key == Keys::HEAD {
             heads.push(change);
         } else {
-            change_one(state, now, change, out);
+            on_change(state, now, change, out);
         }
     }
     for change in heads {
         if let Some(newest) = change.value.as_deref().and_then(parse::<Head>) {
-            head::seen(state, now, newest, change.revision, out);
+            head::on_head(state, now, newest, change.revision, out);
         }
     }
 }
 
-fn change_one(state: &mut RouterState, now: Millis, change: StoreChange, out: &mut Vec<Effect>) {
+fn on_change(state: &mut RouterState, now: Millis, change: StoreChange, out: &mut Vec<Effect>) {
     let StoreChange {
         key,
         value,
@@ -117,7 +117,7 @@
     } = change;
     if let Some(domain) = key.strip_prefix(Keys::DOMAINS) {
         let record = value.as_deref().and_then(parse::<DomainRecord>);
-        domain_changed(state, now, domain, record, revision, out);
+        on_domain_change(state, now, domain, record, revision, out);
     } else if key.starts_with(Keys::BUNDLES) {
         if let Some(bundle) = value.as_deref().and_then(parse::<Bundle>) {
             let number = bundle.number;
@@ -141,7 +141,7 @@
 }
 
 /// Takes up a domain's record, tells its leaders and ends what has left it.
-pub(super) fn domain_changed(
+pub(super) fn on_domain_change(
     state: &mut RouterState,
     now: Millis,
     domain: &str,
@@ -166,6 +166,6 @@
     }
     let name = record.domain.clone();
     state.fleet.domains.insert(name.clone(), (record, revision));
-    agents::look_soon(state, now);
-    agents::tell_leaders(state, &name, out);
+    agents::schedule_dial(state, now);
+    agents::notify_leaders(state, &name, out);
 }
--- a/src/logic/router/head.rs
+++ b/src/logic/router/head.rs
@@ -24,7 +24,7 @@
 }
 
 /// Whether new work may be taken: no other bundle can have been in force for long.
-pub(super) fn proven(state: &RouterState, now: Millis) -> bool {
+pub(super) fn is_proven(state: &RouterState, now: Millis) -> bool {
     if !state.rules.head_proof {
         return true;
     }
@@ -33,14 +33,14 @@
 }
 
 /// Counts a proof that the bundle in force was the newest at `at`.
-pub(super) fn prove(state: &mut RouterState, at: Millis) {
+pub(super) fn record_proof(state: &mut RouterState, at: Millis) {
     let before = state.head.proven_at.unwrap_or(0);
     state.head.proven_at = Some(before.max(at));
 }
 
 /// Asks the service for the head when that is due.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    note_proof(state, now, out);
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+    log_proof_change(state, now, out);
     if now < state.head.prove_at {
         return;
     }
@@ -55,8 +55,8 @@
     state.call(Purpose::ProveHead(now), op, out);
 }
 
-fn note_proof(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let proven = proven(state, now);
+fn log_proof_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+    let proven = is_proven(state, now);
     if proven == state.head.was_proven {
         return;
     }
@@ -70,7 +70,7 @@
 }
 
 /// The service has answered which head it holds.
-pub(super) fn answered(
+pub(super) fn on_head_read(
     state: &mut RouterState,
     now: Millis,
     asked_at: Millis,
@@ -83,15 +83,15 @@
         .unwrap_or_default();
     let number = head.number;
     if let Some(entry) = entry {
-        seen(state, now, head, entry.revision, out);
+        on_head(state, now, head, entry.revision, out);
     }
     if number == state.number() {
-        prove(state, asked_at);
+        record_proof(state, asked_at);
     }
 }
 
 /// A head was seen in the service.
-pub(super) fn seen(
+pub(super) fn on_head(
     state: &mut RouterState,
     now: Millis,
     head: Head,
@@ -115,7 +115,7 @@
     }
     match state.fleet.bundles.get(&number) {
         Some((bundle, _)) => adopt(state, now, bundle.clone(), out),
-        None => fleet::read(state, out),
+        None => fleet::start_read(state, out),
     }
 }
 
@@ -135,5 +135,5 @@
     state.head.proven_at = None;
     state.head.prove_at = now;
     state.head.ask_at = now;
-    agents::push_brief(state, out);
+    agents::broadcast_brief(state, out);
 }
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -6,7 +6,7 @@
 use crate::types::{Approval, Bundle, BundleBody, BundleFault, Millis};
 
 /// Serves an operator's call.
-pub(super) fn asked(
+pub(super) fn on_call(
     state: &mut RouterState,
     now: Millis,
     job: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-fn problem(job: u64, problem: Problem, out: &mut Vec<Effect>) {
+fn reply_problem(job: u64, problem: Problem, out: &mut Vec<Effect>) {
     out.push(Effect::Reply {
         job,
         reply: OperatorReply::Problem(problem),
@@ -56,11 +56,11 @@
     let faults = BundleFault::find_all(&body);
     if !faults.is_empty() {
         let lines: Vec<_> = faults.iter().map(|f| f.to_string()).collect();
-        return problem(job, Problem::not_run(422, lines.join("\n")), out);
+        return reply_problem(job, Problem::not_run(422, lines.join("\n")), out);
     }
     if !state.fleet.read {
         let detail = "the key-value service hasn't been read yet";
-        return problem(job, Problem::not_run(503, detail), out);
+        return reply_problem(job, Problem::not_run(503, detail), out);
     }
     let newest = state.fleet.bundles.keys().next_back().copied().unwrap_or(0);
     let number = newest.max(state.head.head.number) + 1;
@@ -69,11 +69,11 @@
         author: by,
         body,
     };
-    let op = create(Keys::bundle(number), &bundle);
+    let op = create_key(Keys::bundle(number), &bundle);
     state.call(Purpose::Submit { job, number }, op, out);
 }
 
-fn create<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
+fn create_key<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
     StoreCall::Swap {
         checks: vec![Check {
             key: key.clone(),
@@ -90,7 +90,7 @@
 }
 
 /// A bundle's write has ended.
-pub(super) fn submitted(
+pub(super) fn on_submit_result(
     state: &mut RouterState,
     job: u64,
     number: u64,
@@ -107,22 +107,22 @@
             });
         }
         Ok(_) => {
-            fleet::read(state, out);
+            fleet::start_read(state, out);
             let detail = format!("bundle {number} was submitted by another at the same moment");
-            problem(job, Problem::not_run(409, detail), out);
+            reply_problem(job, Problem::not_run(409, detail), out);
         }
         Err(_) => {
             let detail = format!(
                 "no answer came; `runrail bundle status` shows whether bundle {number} was stored"
             );
-            problem(job, Problem::unknown(504, detail), out);
+            reply_problem(job, Problem::unknown(504, detail), out);
         }
     }
 }
 
 fn approve(state: &mut RouterState, job: u64, by: String, number: u64, out: &mut Vec<Effect>) {
     let Some((bundle, _)) = state.fleet.bundles.get(&number) else {
-        return problem(
+        return reply_problem(
             job,
             Problem::not_run(404, format!("bundle {number} doesn't exist")),
             out,
@@ -130,18 +130,18 @@
     };
     if bundle.author == by {
         let detail = format!("{by} wrote bundle {number}; another operator has to approve it");
-        return problem(job, Problem::not_run(403, detail), out);
+        return reply_problem(job, Problem::not_run(403, detail), out);
     }
     let approval = Approval {
         number,
         by: by.clone(),
     };
-    let op = create(Keys::approval(number), &approval);
+    let op = create_key(Keys::approval(number), &approval);
     state.call(Purpose::Approve { job, number, by }, op, out);
 }
 
 /// An approval's write has ended.
-pub(super) fn approved(
+pub(super) fn on_approve_result(
     state: &mut RouterState,
     job: u64,
     number: u64,
@@ -161,7 +161,7 @@
     };
     if !stands {
         let detail = "no answer came; approving again does no harm";
-        return problem(job, Problem::unknown(504, detail), out);
+        return reply_problem(job, Problem::unknown(504, detail), out);
     }
     let note = Note::new(NoteCode::BundleApproved).with("bundle", number);
     out.push(Effect::Note(note));
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -22,7 +22,7 @@
 }
 
 /// Takes the other routers over from the instance list.
-pub(super) fn from_list(state: &mut RouterState, out: &mut Vec<Effect>) {
+pub(super) fn on_list(state: &mut RouterState, out: &mut Vec<Effect>) {
     let listed: Vec<_> = state
         .instances
         .values()
@@ -58,8 +58,8 @@
 }
 
 /// Asks peers while the service gives no proof, and those that were never met.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    count_unanimous(state, now);
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+    prove_by_peers(state, now);
     if now < state.head.ask_at {
         return;
     }
@@ -110,7 +110,7 @@
 /// Where every peer has said that it isn't ahead, none has accepted a newer bundle.
 ///
 /// Acceptance goes through a router, so the oldest of their answers is a proof.
-fn count_unanimous(state: &mut RouterState, now: Millis) {
+fn prove_by_peers(state: &mut RouterState, now: Millis) {
     let unsettled = state.rules.settled_only && state.roll.is_some();
     if !state.list_known || unsettled {
         return;
@@ -122,11 +122,11 @@
         };
         oldest = oldest.min(heard);
     }
-    head::prove(state, oldest);
+    head::record_proof(state, oldest);
 }
 
 /// A session with another router has opened or closed.
-pub(super) fn session(state: &mut RouterState, now: Millis, id: &InstanceId, up: bool) {
+pub(super) fn on_session(state: &mut RouterState, now: Millis, id: &InstanceId, up: bool) {
     if up {
         // Ask at once instead of at the next round.
         state.head.ask_at = now;
@@ -137,7 +137,7 @@
 }
 
 /// Another router asks which bundle is in force here.
-pub(super) fn asked(
+pub(super) fn on_head_ask(
     state: &mut RouterState,
     now: Millis,
     from: &Peer,
@@ -169,7 +169,7 @@
 }
 
 /// Another router has answered.
-pub(super) fn replied(
+pub(super) fn on_head_reply(
     state: &mut RouterState,
     now: Millis,
     from: &Peer,
@@ -195,7 +195,7 @@
     }
     if let Some(age) = reply.age_ms {
         if let Some(at) = reply.asked_at.checked_sub(age) {
-            head::prove(state, at);
+            head::record_proof(state, at);
         }
     }
 }
--- a/src/logic/router/planner/duty.rs
+++ b/src/logic/router/planner/duty.rs
@@ -35,7 +35,7 @@
         return;
     }
     state.planner.was_held = held;
-    agents::look_soon(state, now);
+    agents::schedule_dial(state, now);
     let code = if held {
         NoteCode::PlannerHeld
     } else {
@@ -141,16 +141,16 @@
             done: true,
             revision,
             ..
-        }) => fleet::domain_changed(state, now, &domain, Some(written), revision, out),
+        }) => fleet::on_domain_change(state, now, &domain, Some(written), revision, out),
         Ok(StoreReply::Swapped { entries, .. }) => {
             let key = Keys::domain(&domain);
             for entry in entries.iter().filter(|e| e.key == key) {
                 let record = serde_json::from_str::<DomainRecord>(&entry.value).ok();
-                fleet::domain_changed(state, now, &domain, record, entry.revision, out);
+                fleet::on_domain_change(state, now, &domain, record, entry.revision, out);
             }
         }
         // The write may have taken effect: what stands now is read.
-        _ => fleet::read(state, out),
+        _ => fleet::start_read(state, out),
     }
 }
 
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/recalling.rs
@@ -8,7 +8,7 @@
 use crate::types::{InstanceId, Millis, RequestId};
 
 /// Time between two questions, in milliseconds.
-const ASK_EVERY: Millis = 500;
+const QUERY_INTERVAL_MS: Millis = 500;
 
 /// Begins to ask about a claim that another request wrote.
 pub(super) fn begin(
@@ -28,8 +28,8 @@
         ask_at: now,
         bar: false,
     };
-    agents::look_soon(state, now);
-    ask(state, now, id, out);
+    agents::schedule_dial(state, now);
+    send_query(state, now, id, out);
 }
 
 /// Begins to ask about an own attempt whose session was lost.
@@ -47,7 +47,7 @@
 }
 
 /// Asks again as time passes.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let due: Vec<_> = state
         .requests
         .values()
@@ -55,12 +55,17 @@
         .map(|r| r.id)
         .collect();
     for id in due {
-        ask(state, now, id, out);
+        send_query(state, now, id, out);
     }
 }
 
 /// A session with an agent has opened: ask it at once.
-pub(super) fn agent_up(state: &mut RouterState, now: Millis, peer: &Peer, out: &mut Vec<Effect>) {
+pub(super) fn on_agent_up(
+    state: &mut RouterState,
+    now: Millis,
+    peer: &Peer,
+    out: &mut Vec<Effect>,
+) {
     let due: Vec<_> = state
         .requests
         .values()
@@ -68,12 +73,12 @@
         .map(|r| r.id)
         .collect();
     for id in due {
-        ask(state, now, id, out);
+        send_query(state, now, id, out);
     }
 }
 
-fn ask(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
-    let keep_ms = claim_batch::memory_ms(state);
+fn send_query(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
+    let keep_ms = claim_batch::retention_ms(state);
     let limit = state.knobs.claim_tries;
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
@@ -85,7 +90,7 @@
     else {
         return;
     };
-    *ask_at = now + ASK_EVERY;
+    *ask_at = now + QUERY_INTERVAL_MS;
     let bar = *bar;
     let agent = agent.clone();
     let Some(once) = request.once else {
@@ -96,7 +101,7 @@
     };
     if state.rules.incarnation_check && up != once.incarnation {
         let detail = "the agent in its claim has restarted; it may have run and is not run again";
-        return finish::end_with(state, now, id, Problem::unknown(409, detail), out);
+        return finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
     }
     if request.attempt >= limit {
         let detail = "other routers try the same key; ask again with it";
@@ -120,7 +125,7 @@
 }
 
 /// An agent has answered.
-pub(super) fn recalled(
+pub(super) fn on_query_reply(
     state: &mut RouterState,
     now: Millis,
     run: RunId,
@@ -153,25 +158,25 @@
         }
         Recall::Running { pieces, text } => {
             request.stage = Stage::Sent { agent, group: None };
-            catch_up(state, now, id, pieces, &text, out);
+            deliver_missing(state, now, id, pieces, &text, out);
         }
         Recall::Done {
             status,
             pieces,
             text,
         } => {
-            catch_up(state, now, id, pieces, &text, out);
+            deliver_missing(state, now, id, pieces, &text, out);
             finish::complete(state, now, id, status, out);
         }
         Recall::Lost => {
             let detail = "it was handed over and its answer is lost; it is not run again";
-            finish::end_with(state, now, id, Problem::unknown(409, detail), out);
+            finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
         }
     }
 }
 
 /// Passes on what the caller doesn't have yet.
-fn catch_up(
+fn deliver_missing(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -6,9 +6,9 @@
 use crate::types::{Head, Millis};
 
 /// Time between two tries of a write whose answer was lost, in milliseconds.
-const RETRY_EVERY: Millis = 500;
+const RETRY_INTERVAL_MS: Millis = 500;
 /// Time after which the operator is told that the result isn't known, in milliseconds.
-const TELL_AFTER: Millis = 8_000;
+const REPLY_TIMEOUT_MS: Millis = 8_000;
 
 /// A roll whose result isn't known yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,7 +34,7 @@
     number: u64,
     out: &mut Vec<Effect>,
 ) {
-    if let Err(problem) = check(state, number) {
+    if let Err(problem) = check_roll(state, number) {
         out.push(Effect::Reply {
             job,
             reply: OperatorReply::Problem(problem),
@@ -49,10 +49,10 @@
         since: now,
         retry_at: now,
     });
-    tend(state, now, out);
+    on_tick(state, now, out);
 }
 
-fn check(state: &RouterState, number: u64) -> Result<(), Problem> {
+fn check_roll(state: &RouterState, number: u64) -> Result<(), Problem> {
     if !state.fleet.read {
         return Err(Problem::not_run(
             503,
@@ -97,12 +97,12 @@
 }
 
 /// Writes or writes again until the result is known.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let flying = state.calling(|p| *p == Purpose::Roll);
     let Some(roll) = &mut state.roll else {
         return;
     };
-    if now >= roll.since + TELL_AFTER {
+    if now >= roll.since + REPLY_TIMEOUT_MS {
         if let Some(job) = roll.job.take() {
             let detail = "the service doesn't answer; look at the status before trying again";
             out.push(Effect::Reply {
@@ -125,24 +125,24 @@
             value: serde_json::to_string(&roll.head).unwrap_or_default(),
             lease: None,
         }],
-        deletes: old_bundles(number),
+        deletes: old_bundle_keys(number),
         reads: vec![Keys::HEAD.to_string()],
     };
     state.call(Purpose::Roll, op, out);
 }
 
 /// Bundles kept behind the one in force.
-const KEPT_BUNDLES: u64 = 32;
+const MAX_OLD_BUNDLES: u64 = 32;
 
-fn old_bundles(number: u64) -> Vec<String> {
-    match number.checked_sub(KEPT_BUNDLES) {
+fn old_bundle_keys(number: u64) -> Vec<String> {
+    match number.checked_sub(MAX_OLD_BUNDLES) {
         Some(old) if old > 0 => vec![Keys::bundle(old), Keys::approval(old)],
         _ => Vec::new(),
     }
 }
 
 /// The write has ended, or its answer was lost.
-pub(super) fn written(
+pub(super) fn on_written(
     state: &mut RouterState,
     now: Millis,
     result: StoreResult,
@@ -156,7 +156,7 @@
             done: true,
             revision,
             ..
-        }) => accepted(state, now, revision, out),
+        }) => on_accepted(state, now, revision, out),
         Ok(StoreReply::Swapped { entries, .. }) => {
             let entry = entries.into_iter().find(|e| e.key == Keys::HEAD);
             let found = entry.and_then(|e| {
@@ -165,19 +165,19 @@
             });
             let (found, revision) = found.unwrap_or_default();
             if found.nonce == roll.head.nonce {
-                accepted(state, now, revision, out);
+                on_accepted(state, now, revision, out);
             } else if found.number >= roll.head.number {
-                lost_race(state, now, found, revision, out);
+                on_lost_race(state, now, found, revision, out);
             } else {
                 roll.revision = revision;
                 roll.retry_at = now;
             }
         }
-        _ => roll.retry_at = now + RETRY_EVERY,
+        _ => roll.retry_at = now + RETRY_INTERVAL_MS,
     }
 }
 
-fn accepted(state: &mut RouterState, now: Millis, revision: i64, out: &mut Vec<Effect>) {
+fn on_accepted(state: &mut RouterState, now: Millis, revision: i64, out: &mut Vec<Effect>) {
     let Some(roll) = state.roll.take() else {
         return;
     };
@@ -186,7 +186,7 @@
         .with("bundle", number)
         .with("by", &roll.head.by);
     out.push(Effect::Note(note));
-    head::seen(state, now, roll.head, revision, out);
+    head::on_head(state, now, roll.head, revision, out);
     if let Some(job) = roll.job {
         out.push(Effect::Reply {
             job,
@@ -195,7 +195,7 @@
     }
 }
 
-fn lost_race(
+fn on_lost_race(
     state: &mut RouterState,
     now: Millis,
     found: Head,
@@ -209,7 +209,7 @@
         "bundle {}, rolled by {}, is in force",
         found.number, found.by
     );
-    head::seen(state, now, found, revision, out);
+    head::on_head(state, now, found, revision, out);
     if let Some(job) = roll.job {
         out.push(Effect::Reply {
             job,
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -5,17 +5,17 @@
 /// Weight of the old mean against one new run time.
 const MEAN_WEIGHT: u64 = 7;
 /// Part of a run time that a full group costs beyond waiting.
-const CROWD_SHARE: u64 = 4;
+const CROWD_DIVISOR: u64 = 4;
 /// Run time assumed of a group before the first run ends, in milliseconds.
-const FIRST_MEAN: Millis = 200;
+const DEFAULT_RUN_MS: Millis = 200;
 /// Candidates in the own hall that are compared.
-const NEAR_SAMPLE: usize = 3;
+const MAX_NEAR_SAMPLES: usize = 3;
 /// Candidates in other halls that are compared with them.
-const FAR_SAMPLE: usize = 1;
+const MAX_FAR_SAMPLES: usize = 1;
 /// Bytes of a body that count as its prefix.
 const PREFIX_BYTES: usize = 512;
 /// Prefixes that are remembered.
-const PREFIX_LIMIT: usize = 4_096;
+const MAX_PREFIXES: usize = 4_096;
 
 /// How a group is chosen among those that are open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -126,7 +126,7 @@
         }
         let near = state.fleet.hall(&lead.group.domain) == Some(&state.hall);
         let ramp = ramp_cost(state, now, view.opened_at, &lead.group);
-        let (wait, cost) = expected(state, request.priority, lead);
+        let (wait, cost) = expected_cost(state, request.priority, lead);
         let far = if near { 0 } else { state.knobs.far_ms };
         found.push(Candidate {
             agent: agent.clone(),
@@ -142,20 +142,20 @@
 /// Least time until a start, and expected extra time, from reports and own work.
 ///
 /// Reports lag, so what this router has sent since the last one counts on top.
-fn expected(state: &RouterState, priority: u8, lead: &LeadReport) -> (Millis, Millis) {
+fn expected_cost(state: &RouterState, priority: u8, lead: &LeadReport) -> (Millis, Millis) {
     let load = state.loads.get(&lead.group).copied().unwrap_or_default();
     let slots = u64::from(lead.slots.max(1));
     let class = lead.loads.iter().find(|c| c.priority == priority);
     let class = class.copied().unwrap_or_default();
     let mean = match (class.mean_ms, load.mean_ms) {
-        (0, 0) => FIRST_MEAN,
+        (0, 0) => DEFAULT_RUN_MS,
         (0, own) => own,
         (mean, _) => mean,
     };
     let sent = u64::from(load.since_report);
     let crowd = u64::from(lead.running) + sent;
     // Waiting first; among groups without any, the least crowded; slow ones last.
-    let cost = class.wait_ms + sent * mean / slots + crowd * mean / slots / CROWD_SHARE + mean;
+    let cost = class.wait_ms + sent * mean / slots + crowd * mean / slots / CROWD_DIVISOR + mean;
     (class.wait_ms, cost)
 }
 
@@ -174,14 +174,14 @@
     let mut near: Vec<_> = (0..all.len()).filter(|i| all[*i].near).collect();
     let mut far: Vec<_> = (0..all.len()).filter(|i| !all[*i].near).collect();
     let far_sample = if near.is_empty() {
-        NEAR_SAMPLE
+        MAX_NEAR_SAMPLES
     } else {
-        FAR_SAMPLE
+        MAX_FAR_SAMPLES
     };
-    let mut sample = draw(state, &mut near, NEAR_SAMPLE);
-    sample.extend(draw(state, &mut far, far_sample));
+    let mut sample = draw_sample(state, &mut near, MAX_NEAR_SAMPLES);
+    sample.extend(draw_sample(state, &mut far, far_sample));
     let best = sample.into_iter().min_by_key(|i| all[*i].cost).unwrap_or(0);
-    let hinted = prefix_of(request).and_then(|p| state.prefixes.get(&p));
+    let hinted = prefix_hash(request).and_then(|p| state.prefixes.get(&p));
     let hinted = hinted.and_then(|group| all.iter().position(|c| &c.group == group));
     match hinted {
         Some(i) if all[i].cost <= all[best].cost + state.knobs.prefix_ms => i,
@@ -189,7 +189,7 @@
     }
 }
 
-fn draw(state: &mut RouterState, from: &mut Vec<usize>, count: usize) -> Vec<usize> {
+fn draw_sample(state: &mut RouterState, from: &mut Vec<usize>, count: usize) -> Vec<usize> {
     let mut drawn = Vec::new();
     while drawn.len() < count && !from.is_empty() {
         let at = state.random(from.len() as u64) as usize;
@@ -198,7 +198,7 @@
     drawn
 }
 
-fn prefix_of(request: &Request) -> Option<u64> {
+fn prefix_hash(request: &Request) -> Option<u64> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let body = request.body.as_bytes();
     if request.kind == ModelKind::Service || body.len() < PREFIX_BYTES {
@@ -211,10 +211,10 @@
 }
 
 fn remember_prefix(state: &mut RouterState, request: &Request, group: &GroupId) {
-    let Some(prefix) = prefix_of(request) else {
+    let Some(prefix) = prefix_hash(request) else {
         return;
     };
-    if state.prefixes.len() >= PREFIX_LIMIT && !state.prefixes.contains_key(&prefix) {
+    if state.prefixes.len() >= MAX_PREFIXES && !state.prefixes.contains_key(&prefix) {
         state.prefixes.pop_first();
     }
     state.prefixes.insert(prefix, group.clone());
--- a/src/logic/router/router_state.rs
+++ b/src/logic/router/router_state.rs
@@ -124,7 +124,7 @@
 
     /// Whether new work may be taken at `now`: the bundle in force is proved new.
     pub fn proven(&self, now: Millis) -> bool {
-        head::proven(self, now)
+        head::is_proven(self, now)
     }
 
     /// A random number below `bound`; 0 for a bound of 0.
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/sending.rs
@@ -33,9 +33,9 @@
     group: &GroupId,
     out: &mut Vec<Effect>,
 ) {
-    agents::push_brief_to(state, agent, out);
+    agents::send_brief(state, agent, out);
     let bundle = state.number();
-    let keep_ms = claim_batch::memory_ms(state);
+    let keep_ms = claim_batch::retention_ms(state);
     let incarnation = state.agents.get(agent).and_then(|a| a.up);
     let epoch = state.fleet.group(group).map(|g| g.epoch);
     let (Some(incarnation), Some(epoch)) = (incarnation, epoch) else {
@@ -99,7 +99,7 @@
 }
 
 /// A piece has arrived. Only the next offset of the present attempt is passed on.
-pub(super) fn piece(
+pub(super) fn on_piece(
     state: &mut RouterState,
     now: Millis,
     run: RunId,
@@ -115,7 +115,7 @@
         return;
     }
     if offset > request.pieces {
-        return attempt_broken(state, now, run.request, out);
+        return on_broken_attempt(state, now, run.request, out);
     }
     deliver(request, now, 1, text, out);
 }
@@ -145,7 +145,7 @@
 }
 
 /// An attempt has ended at its agent.
-pub(super) fn ended(
+pub(super) fn on_attempt_end(
     state: &mut RouterState,
     now: Millis,
     from: &InstanceId,
@@ -162,15 +162,15 @@
     let id = run.request;
     match end {
         AttemptEnd::Complete { status, pieces } if pieces == request.pieces => {
-            count_run(state, now, id);
+            record_run_time(state, now, id);
             finish::complete(state, now, id, status, out);
         }
-        AttemptEnd::Complete { .. } | AttemptEnd::Broken => attempt_broken(state, now, id, out),
-        AttemptEnd::Refused(refusal) => refused(state, now, id, from, refusal, out),
+        AttemptEnd::Complete { .. } | AttemptEnd::Broken => on_broken_attempt(state, now, id, out),
+        AttemptEnd::Refused(refusal) => on_refusal(state, now, id, from, refusal, out),
     }
 }
 
-fn count_run(state: &mut RouterState, now: Millis, id: RequestId) {
+fn record_run_time(state: &mut RouterState, now: Millis, id: RequestId) {
     let Some(request) = state.requests.get(&id) else {
         return;
     };
@@ -181,7 +181,7 @@
 }
 
 /// Takes the present attempt out of the books of its group.
-fn detach(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
+fn remove_from_load(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
     let group = state.requests.get(&id)?.group().cloned()?;
     if let Some(load) = state.loads.get_mut(&group) {
         load.own = load.own.saturating_sub(1);
@@ -190,7 +190,7 @@
 }
 
 /// The agent has refused: this attempt didn't run.
-fn refused(
+fn on_refusal(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
@@ -198,7 +198,7 @@
     refusal: Refusal,
     out: &mut Vec<Effect>,
 ) {
-    let group = detach(state, id);
+    let group = remove_from_load(state, id);
     let number = state.number();
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
@@ -229,17 +229,17 @@
         return finish::give_up(state, now, id, problem, out);
     }
     let soon = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
-    again(state, now, id, detail, wait, soon, out);
+    retry_or_give_up(state, now, id, detail, wait, soon, out);
 }
 
 /// The attempt may have run and its end isn't known.
-pub(super) fn attempt_broken(
+pub(super) fn on_broken_attempt(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
     out: &mut Vec<Effect>,
 ) {
-    let group = detach(state, id);
+    let group = remove_from_load(state, id);
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
@@ -249,9 +249,9 @@
     request.stage = Stage::Parked(now);
     if request.once.is_some() {
         let detail = "its endpoint broke off; it may have run and is not run again";
-        return finish::end_with(state, now, id, Problem::unknown(502, detail), out);
+        return finish::end_with_problem(state, now, id, Problem::unknown(502, detail), out);
     }
-    again(
+    retry_or_give_up(
         state,
         now,
         id,
@@ -263,7 +263,7 @@
 }
 
 /// Tries again where attempts, budget and deadline allow it; else gives up.
-fn again(
+fn retry_or_give_up(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
@@ -286,7 +286,7 @@
         .with("attempt", attempt)
         .with("detail", detail);
     out.push(Effect::Note(note));
-    out.push(retry_measure(request));
+    out.push(retry_metric(request));
     if soon {
         park(state, now, id, out);
     } else {
@@ -294,7 +294,7 @@
     }
 }
 
-fn retry_measure(request: &Request) -> Effect {
+fn retry_metric(request: &Request) -> Effect {
     let account: Arc<str> = request.account.clone();
     Effect::Measure {
         metric: Metric::Retry,
@@ -305,7 +305,7 @@
 }
 
 /// The session with an agent is gone, and with it the end of what was sent there.
-pub(super) fn agent_lost(
+pub(super) fn on_agent_lost(
     state: &mut RouterState,
     now: Millis,
     agent: &InstanceId,
@@ -319,16 +319,16 @@
         .collect();
     for (id, once) in lost {
         if once {
-            detach(state, id);
+            remove_from_load(state, id);
             recalling::begin_own(state, now, id, agent, out);
         } else {
-            attempt_broken(state, now, id, out);
+            on_broken_attempt(state, now, id, out);
         }
     }
 }
 
 /// Looks after requests as time passes.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let grace = state.knobs.grace_ms;
     let mut parked = Vec::new();
     let mut late = Vec::new();
@@ -340,14 +340,14 @@
         }
     }
     for id in late {
-        deadline_passed(state, now, id, out);
+        on_deadline(state, now, id, out);
     }
     for id in parked {
         dispatch(state, now, id, out);
     }
 }
 
-fn deadline_passed(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
+fn on_deadline(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get(&id) else {
         return;
@@ -370,11 +370,11 @@
         }
         Stage::Recalling { .. } => Problem::unknown(504, "the agent in its claim can't be reached"),
     };
-    finish::end_with(state, now, id, problem, out);
+    finish::end_with_problem(state, now, id, problem, out);
 }
 
 /// The caller has hung up.
-pub(super) fn caller_gone(state: &mut RouterState, id: RequestId, out: &mut Vec<Effect>) {
+pub(super) fn on_caller_gone(state: &mut RouterState, id: RequestId, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.get(&id) else {
         return;
     };
@@ -384,5 +384,5 @@
             message: Message::Cancel(request.run()),
         });
     }
-    finish::forget(state, id, |_, _, _| {});
+    finish::remove_request(state, id, |_, _, _| {});
 }
--- a/src/logic/router/status.rs
+++ b/src/logic/router/status.rs
@@ -16,16 +16,20 @@
         router: state.me.to_string(),
         hall: state.hall.to_string(),
         bundle: state.number(),
-        proven: head::proven(state, now),
+        proven: head::is_proven(state, now),
         store_up: state.store_up,
         planner: state.planner.holds(now),
         requests: state.requests.len(),
-        groups: state.fleet.groups().map(|g| group(state, g)).collect(),
+        groups: state
+            .fleet
+            .groups()
+            .map(|g| group_status(state, g))
+            .collect(),
         spares,
     }
 }
 
-fn group(state: &RouterState, record: &GroupRecord) -> GroupStatus {
+fn group_status(state: &RouterState, record: &GroupRecord) -> GroupStatus {
     let view = state.agents.get(&record.leader().instance);
     let lead = view
         .and_then(|v| v.report.as_ref())
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -12,39 +12,39 @@
         Event::Tick => {}
         Event::Stop => state.stopping = true,
         Event::Up(peer) => match peer.role {
-            PeerRole::Router => peers::session(state, now, &peer.id, true),
-            PeerRole::Agent => agents::up(state, now, &peer, out),
+            PeerRole::Router => peers::on_session(state, now, &peer.id, true),
+            PeerRole::Agent => agents::on_agent_up(state, now, &peer, out),
         },
         Event::Down(id) => {
-            peers::session(state, now, &id, false);
-            agents::down(state, now, &id, out);
+            peers::on_session(state, now, &id, false);
+            agents::on_agent_down(state, now, &id, out);
         }
-        Event::Message { from, message } => message_in(state, now, &from, message, out),
-        Event::Store { call, result } => store(state, now, call, result, out),
-        Event::Watch(changes) => fleet::changed(state, now, changes, out),
-        Event::WatchLost => fleet::read(state, out),
-        Event::List(list) => list_in(state, now, list, out),
-        Event::Request(call) => accept::arrived(state, now, *call, out),
-        Event::Gone(id) => sending::caller_gone(state, id, out),
-        Event::Operator { job, call } => operator::asked(state, now, job, call, out),
+        Event::Message { from, message } => on_message(state, now, &from, message, out),
+        Event::Store { call, result } => on_store_reply(state, now, call, result, out),
+        Event::Watch(changes) => fleet::on_changes(state, now, changes, out),
+        Event::WatchLost => fleet::start_read(state, out),
+        Event::List(list) => on_list(state, now, list, out),
+        Event::Request(call) => accept::on_request(state, now, *call, out),
+        Event::Gone(id) => sending::on_caller_gone(state, id, out),
+        Event::Operator { job, call } => operator::on_call(state, now, job, call, out),
         Event::Endpoint(_) | Event::Direct(_) => {}
     }
-    tend(state, now, out);
+    on_tick(state, now, out);
 }
 
 /// What is done after every event: time may have passed since the last one.
-fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if !state.fleet.read {
-        fleet_again(state, now, out);
+        retry_fleet_read(state, now, out);
     }
-    head::tend(state, now, out);
-    peers::tend(state, now, out);
-    roll::tend(state, now, out);
+    head::on_tick(state, now, out);
+    peers::on_tick(state, now, out);
+    roll::on_tick(state, now, out);
     planner::tend(state, now, out);
-    recalling::tend(state, now, out);
-    sending::tend(state, now, out);
-    agents::tend(state, now, out);
-    claim_batch::tend(state, now, out);
+    recalling::on_tick(state, now, out);
+    sending::on_tick(state, now, out);
+    agents::on_tick(state, now, out);
+    claim_batch::on_tick(state, now, out);
     if now >= state.list_at {
         state.list_at = now + state.knobs.list_ms;
         out.push(Effect::FetchList);
@@ -55,13 +55,13 @@
 }
 
 /// Reads the fleet at the pace of the proofs until that has succeeded.
-fn fleet_again(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+fn retry_fleet_read(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if now >= state.head.prove_at {
-        fleet::read(state, out);
+        fleet::start_read(state, out);
     }
 }
 
-fn message_in(
+fn on_message(
     state: &mut RouterState,
     now: Millis,
     from: &Peer,
@@ -70,29 +70,29 @@
 ) {
     match (from.role, message) {
         (PeerRole::Agent, Message::Report(report)) => {
-            agents::reported(state, now, &from.id, *report, out);
+            agents::on_report(state, now, &from.id, *report, out);
         }
-        (PeerRole::Agent, Message::Load(load)) => agents::loaded(state, &from.id, load),
+        (PeerRole::Agent, Message::Load(load)) => agents::on_load_report(state, &from.id, load),
         (PeerRole::Agent, Message::Piece { run, offset, text }) => {
-            sending::piece(state, now, run, offset, text, out);
+            sending::on_piece(state, now, run, offset, text, out);
         }
         (PeerRole::Agent, Message::End { run, end }) => {
-            sending::ended(state, now, &from.id, run, end, out)
+            sending::on_attempt_end(state, now, &from.id, run, end, out)
         }
         (PeerRole::Agent, Message::Recalled { run, recall }) => {
-            recalling::recalled(state, now, run, recall, out);
+            recalling::on_query_reply(state, now, run, recall, out);
         }
         (PeerRole::Router, Message::HeadAsk { asked_at, number }) => {
-            peers::asked(state, now, from, asked_at, number, out);
+            peers::on_head_ask(state, now, from, asked_at, number, out);
         }
         (PeerRole::Router, Message::HeadReply(reply)) => {
-            peers::replied(state, now, from, reply, out);
+            peers::on_head_reply(state, now, from, reply, out);
         }
         (PeerRole::Router, Message::ClaimAsk(writes)) => {
-            claim_batch::add_guests(state, now, &from.id, writes);
+            claim_batch::add_forwarded(state, now, &from.id, writes);
         }
         (PeerRole::Router, Message::ClaimReply(answers)) => {
-            claiming::replied(state, now, answers, out);
+            claiming::on_claim_reply(state, now, answers, out);
         }
         _ => {
             let note = Note::new(NoteCode::UnexpectedMessage).with("from", &from.id);
@@ -101,34 +101,36 @@
     }
 }
 
-fn store(
+fn on_store_reply(
     state: &mut RouterState,
     now: Millis,
     call: CallId,
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
-    note_store(state, result.is_ok(), out);
+    set_store_up(state, result.is_ok(), out);
     let Some(purpose) = state.calls.remove(&call) else {
         return;
     };
     match purpose {
         Purpose::ReadFleet => {
             if let Ok(StoreReply::Entries { revision, entries }) = result {
-                fleet::was_read(state, now, revision, entries, out);
+                fleet::on_read(state, now, revision, entries, out);
             }
         }
         Purpose::ProveHead(asked_at) => {
             if let Ok(StoreReply::Entries { entries, .. }) = result {
-                head::answered(state, now, asked_at, &entries, out);
+                head::on_head_read(state, now, asked_at, &entries, out);
             }
         }
-        Purpose::Submit { job, number } => operator::submitted(state, job, number, result, out),
+        Purpose::Submit { job, number } => {
+            operator::on_submit_result(state, job, number, result, out)
+        }
         Purpose::Approve { job, number, by } => {
-            operator::approved(state, job, number, by, result, out);
+            operator::on_approve_result(state, job, number, by, result, out);
         }
-        Purpose::Roll => roll::written(state, now, result, out),
-        Purpose::Claims(claims) => claiming::written(state, now, claims, result, out),
+        Purpose::Roll => roll::on_written(state, now, result, out),
+        Purpose::Claims(claims) => claiming::on_batch_written(state, now, claims, result, out),
         Purpose::ClaimLease(asked_at) => {
             if let Ok(StoreReply::Lease { lease, .. }) = result {
                 state.claims.lease = Some(lease);
@@ -139,7 +141,7 @@
     }
 }
 
-fn note_store(state: &mut RouterState, up: bool, out: &mut Vec<Effect>) {
+fn set_store_up(state: &mut RouterState, up: bool, out: &mut Vec<Effect>) {
     if state.store_up == up {
         return;
     }
@@ -152,14 +154,14 @@
     out.push(Effect::Note(Note::new(code)));
 }
 
-fn list_in(state: &mut RouterState, now: Millis, list: ListReply, out: &mut Vec<Effect>) {
+fn on_list(state: &mut RouterState, now: Millis, list: ListReply, out: &mut Vec<Effect>) {
     let ListReply::Instances(instances) = list else {
         return;
     };
     state.list_known = true;
     state.instances = instances.into_iter().map(|i| (i.id.clone(), i)).collect();
-    agents::look_soon(state, now);
-    peers::from_list(state, out);
+    agents::schedule_dial(state, now);
+    peers::on_list(state, out);
     let leaving: Vec<_> = state
         .instances
         .values()
@@ -167,6 +169,6 @@
         .map(|i| i.id.clone())
         .collect();
     for id in leaving {
-        agents::tell_leaving(state, &id, out);
+        agents::notify_leaving(state, &id, out);
     }
 }
