--- a/src/logic/router/accept.rs
+++ b/src/logic/router/accept.rs
@@ -1,4 +1,4 @@
-//! Whether a caller's request is taken, and under which terms.
+//! Admission of callers' requests.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::message::ClaimKey;
 use crate::types::{AccountSpec, BundleBody, ClassSpec, Millis};
 
-/// Takes a request or refuses it at once.
+/// Handles a new request: admits and dispatches it, or answers with a problem at once.
 pub(super) fn on_request(
     state: &mut RouterState,
     now: Millis,
@@ -36,10 +36,13 @@
     }
 }
 
+/// Checks a request against the bundle in force and the limits, and builds its state.
 fn admit(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
     let hint = state.knobs.hint_ms;
     if state.stopping {
-        return Err(Problem::not_run(503, "this router is stopping; ask again").retry_in(hint));
+        return Err(
+            Problem::not_run(503, "this router is shutting down; try again").retry_in(hint),
+        );
     }
     let Some(bundle) = state.bundle() else {
         return Err(Problem::not_run(503, "no bundle is in force yet").retry_in(hint));
@@ -95,11 +98,15 @@
 ) -> Result<&'a ClassSpec, Problem> {
     let name: Option<&Arc<str>> = call.class.as_ref().or(account.classes.first());
     let Some(name) = name else {
-        return Err(Problem::not_run(403, "the client account may use no class"));
+        return Err(Problem::not_run(
+            403,
+            "the client account isn't allowed any class",
+        ));
     };
     if !account.classes.contains(name) {
         let allowed = account.classes.join(", ");
-        let detail = format!("class {name:?} isn't open to this account; it may use: {allowed}");
+        let detail =
+            format!("class {name:?} isn't allowed for this client account; it may use: {allowed}");
         return Err(Problem::not_run(403, detail));
     }
     body.class(name)
@@ -129,16 +136,20 @@
     let hint = state.knobs.hint_ms;
     let used = state.accounts.get(&account.name).copied().unwrap_or(0);
     if used >= account.limit {
-        let detail = format!("{used} requests of this account are in flight, its limit");
+        let detail =
+            format!("the client account has {used} requests in flight, which is its limit");
         return Err(Problem::not_run(429, detail).retry_in(hint));
     }
     if state.requests.len() >= state.knobs.request_limit as usize {
-        let detail = "this router has its limit of requests in flight";
+        let detail = "this router has reached its limit of requests in flight";
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
     Ok(())
 }
 
+/// State of the claim of a request with an idempotency key, before anything is written.
+///
+/// Without a key, a request of a class that may not be repeated is refused.
 fn new_claim(
     account: &AccountSpec,
     class: &ClassSpec,
--- a/src/logic/router/agent_view.rs
+++ b/src/logic/router/agent_view.rs
@@ -6,22 +6,22 @@
 /// A router's view of one agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AgentView {
-    /// Where it listens.
+    /// Address it listens on.
     pub addr: SocketAddr,
     /// Its incarnation while a session is open.
     pub up: Option<u64>,
-    /// When the session closed, or was first wanted.
+    /// When the session closed, or when it was first dialled.
     pub down_since: Millis,
-    /// Number of its bundle as last heard or sent.
+    /// Number of the newest bundle that it has reported or was sent on the present session.
     pub bundle: u64,
     /// Its last report on the present session.
     pub report: Option<Report>,
-    /// When the group it leads was last seen to open.
+    /// When its reports last changed from a group that isn't open to one that is.
     pub opened_at: Millis,
 }
 
 impl AgentView {
-    /// View of an agent that is about to be dialled.
+    /// State of an agent that is about to be dialled.
     pub fn new(addr: SocketAddr, now: Millis) -> Self {
         Self {
             addr,
--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -1,4 +1,4 @@
-//! Which agents a router keeps sessions with, and what it tells them.
+//! Sessions with agents: which ones a router keeps, and what it sends over them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 use crate::message::{LoadReport, Message, Report};
 use crate::types::{Brief, GroupRecord, InstanceId, Millis};
 
-/// Longest time between two looks at the set of agents to dial, in milliseconds.
+/// Longest time between two updates of the set of agents to dial.
 ///
-/// Changes of records, of the list and of a leader's session bring it forward.
+/// A changed record, a new instance list or a closed session brings the next update forward.
 const DIAL_INTERVAL_MS: Millis = 10_000;
 
-/// Time in which changes are gathered before the set is looked at, in milliseconds.
+/// Time in which changes are collected before the set of agents to dial is updated.
 const DIAL_DELAY_MS: Millis = 50;
 
-/// Brings the next look at the set of agents forward.
+/// Brings the next update of the set of agents to dial forward.
 pub(super) fn schedule_dial(state: &mut RouterState, now: Millis) {
     state.dial_at = state.dial_at.min(now + DIAL_DELAY_MS);
 }
 
-/// Dials the agents that are needed and hangs up on the others.
+/// Dials the agents that are needed and closes the sessions with the others.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if now < state.dial_at {
         return;
@@ -52,6 +52,11 @@
     }
 }
 
+/// Agents that this router needs sessions with, and where they listen.
+///
+/// These are the leaders of all groups of the own data hall and of up to `far_groups` groups of
+/// other halls for each model, the agents of requests that were sent or are queried about, and the
+/// agents that the planner needs.
 fn wanted_agents(state: &RouterState) -> BTreeMap<InstanceId, SocketAddr> {
     let mut wanted = BTreeMap::new();
     let mut far: BTreeMap<Arc<str>, Vec<(u64, &GroupRecord)>> = BTreeMap::new();
@@ -89,7 +94,8 @@
     wanted
 }
 
-/// Spreads the far groups of a model over the routers.
+/// Rank of a group for this router by rendezvous hashing, which spreads the groups of other halls
+/// over the routers.
 fn rendezvous_rank(me: &InstanceId, group: &GroupRecord) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
@@ -98,7 +104,9 @@
     hasher.finish()
 }
 
-/// A session with an agent has opened.
+/// Handles a session with an agent that has opened.
+///
+/// The agent gets the brief, the records of the groups that it leads and the pending queries.
 pub(super) fn on_agent_up(
     state: &mut RouterState,
     now: Millis,
@@ -112,24 +120,24 @@
     view.report = None;
     view.bundle = 0;
     if before.is_some() {
-        // A new session in place of the old one: what was sent there may be lost.
+        // The new session replaces an old one; what was sent on that may be lost.
         sending::on_agent_lost(state, now, &peer.id, out);
     }
     send_brief(state, &peer.id, out);
-    let leads: Vec<_> = state
+    let led: Vec<_> = state
         .fleet
         .groups()
         .filter(|g| g.leader().instance == peer.id)
         .cloned()
         .collect();
-    for record in leads {
+    for record in led {
         out.push(assign_record(record));
     }
     notify_leaving(state, &peer.id, out);
     recalling::on_agent_up(state, now, peer, out);
 }
 
-/// A session with an agent has closed.
+/// Handles a session with an agent that has closed.
 pub(super) fn on_agent_down(
     state: &mut RouterState,
     now: Millis,
@@ -142,12 +150,12 @@
     view.up = None;
     view.report = None;
     view.down_since = now;
-    // A planner dials a second member where a leader can't be reached.
+    // A planner dials the second member of a group whose leader can't be reached.
     schedule_dial(state, now);
     sending::on_agent_lost(state, now, id, out);
 }
 
-/// An agent has reported.
+/// Handles an agent's report: keeps it, and sends a newer brief or record where the agent needs it.
 pub(super) fn on_report(
     state: &mut RouterState,
     now: Millis,
@@ -182,7 +190,7 @@
     correct_leader(state, from, &lead.group, lead.epoch, out);
 }
 
-/// A leader has told its load.
+/// Handles a leader's load report, which updates its last full report.
 pub(super) fn on_load_report(state: &mut RouterState, from: &InstanceId, load: LoadReport) {
     let report = state.agents.get_mut(from).and_then(|a| a.report.as_mut());
     let Some(lead) = report.and_then(|r| r.lead.as_mut()) else {
@@ -198,7 +206,8 @@
     }
 }
 
-/// Tells a leader when its record has moved on or is gone.
+/// Sends a leader the newer record of its group, or releases it from a group that it no longer
+/// leads.
 fn correct_leader(
     state: &RouterState,
     leader: &InstanceId,
@@ -211,10 +220,11 @@
             out.push(assign_record(record.clone()));
         }
         Some(record) if record.epoch <= epoch => {}
-        // Gone, or led by another now. A record older than the group proves nothing.
+        // The group is gone or has another leader now. A domain record older than the leader's
+        // epoch doesn't show that.
         _ => {
-            let passed = state.fleet.domains.get(&group.domain);
-            if passed.is_some_and(|(d, _)| d.epoch >= epoch) {
+            let known = state.fleet.domains.get(&group.domain);
+            if known.is_some_and(|(d, _)| d.epoch >= epoch) {
                 out.push(release_group(leader, group, epoch));
             }
         }
@@ -238,7 +248,7 @@
     }
 }
 
-/// Tells every leader of a domain what its record says now.
+/// Sends the leaders of a domain their present records, and releases those that lead no longer.
 pub(super) fn notify_leaders(state: &RouterState, domain: &Arc<str>, out: &mut Vec<Effect>) {
     let Some((record, _)) = state.fleet.domains.get(domain) else {
         return;
@@ -254,7 +264,7 @@
     }
 }
 
-/// Gives every agent the bundle in force.
+/// Sends the brief of the bundle in force to every agent that may not have it.
 pub(super) fn broadcast_brief(state: &mut RouterState, out: &mut Vec<Effect>) {
     let ids: Vec<_> = state.agents.keys().cloned().collect();
     for id in ids {
@@ -262,7 +272,7 @@
     }
 }
 
-/// Gives one agent the bundle in force, where it may not have it.
+/// Sends one agent the brief of the bundle in force, if there is a session and it may not have it.
 pub(super) fn send_brief(state: &mut RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
     let Some(bundle) = state.bundle().cloned() else {
         return;
@@ -280,7 +290,7 @@
     });
 }
 
-/// Passes the platform's word on to an instance that is leaving.
+/// Notifies an agent that the platform lists its instance as leaving, unless it has reported so.
 pub(super) fn notify_leaving(state: &RouterState, id: &InstanceId, out: &mut Vec<Effect>) {
     let leaving = state.instances.get(id).is_some_and(|i| !i.is_live());
     let known = state
--- a/src/logic/router/caller_request.rs
+++ b/src/logic/router/caller_request.rs
@@ -11,7 +11,7 @@
     pub key_sha256: String,
     /// Model or service.
     pub model: Arc<str>,
-    /// Which kind of endpoint the caller's path means.
+    /// Kind of endpoint, from the caller's path.
     pub kind: ModelKind,
     /// Class; the account's first one when absent.
     pub class: Option<Arc<str>>,
@@ -19,8 +19,8 @@
     pub path: Arc<str>,
     /// Body for the endpoint.
     pub body: Arc<str>,
-    /// Time until the caller gives up; the class's default when absent.
+    /// Time until the deadline; the class's default when absent.
     pub deadline_ms: Option<Millis>,
-    /// The caller's key for a request that may not be repeated.
+    /// The caller's idempotency key; the request then runs at most once.
     pub once_key: Option<String>,
 }
--- a/src/logic/router/calls.rs
+++ b/src/logic/router/calls.rs
@@ -4,7 +4,7 @@
 /// Number of a call to the key-value service within one process.
 pub type CallId = u64;
 
-/// Why a call was made; decides what its result means.
+/// Why a call was made, which decides how its result is handled.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
     /// Read everything below `fleet/`.
@@ -15,7 +15,7 @@
     Submit {
         /// The operator's call.
         job: u64,
-        /// Number tried.
+        /// Number that the bundle gets.
         number: u64,
     },
     /// Store an approval.
@@ -31,17 +31,17 @@
     Roll,
     /// Write a batch of claims.
     Claims(Vec<WaitingClaim>),
-    /// Ask for the lease that claims are attached to; sent at this time.
+    /// Request the lease that claims are attached to; sent at this time.
     ClaimLease(Millis),
-    /// Look whether a planner is there.
+    /// Read whether another router holds the planner lease.
     ReadPlanner,
-    /// Ask for the planner's lease; sent at this time.
+    /// Request the lease for the planner's key; sent at this time.
     PlannerLease(Millis),
-    /// Take the planner's key.
+    /// Create the planner's key, attached to the lease.
     TakePlanner {
         /// The lease.
         lease: i64,
-        /// When the lease was asked for.
+        /// When the lease was requested.
         asked_at: Millis,
     },
     /// Renew the planner's lease; sent at this time.
--- a/src/logic/router/check.rs
+++ b/src/logic/router/check.rs
@@ -1,4 +1,4 @@
-/// A key's revision that must be as given; 0 means that the key is absent.
+/// A condition of a write: the key has this revision; 0 means that it doesn't exist.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Check {
     /// The key.
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -3,62 +3,62 @@
 use crate::message::{ClaimWrite, Message};
 use crate::types::{InstanceId, Millis};
 
-/// Batches of claims under way at once.
+/// Batch writes that may be in flight at once.
 const MAX_BATCHES_IN_FLIGHT: usize = 4;
-/// Time after which a claim that another router was to write is written here.
+/// Time after which a forwarded claim without a reply is written by this router.
 const FORWARD_TIMEOUT_MS: Millis = 1_000;
 
-/// How much longer an agent remembers a key than its claim is meant to live.
+/// Ratio of the time an agent remembers a key to `claim_keep_ms`.
 ///
-/// An agent that had forgotten a key whose claim still stood would say that it
-/// never ran. A claim lives up to 1.25 times `claim_keep_ms`; the rest is for a
-/// service that lengthens leases when it restarts.
+/// An agent that had forgotten a key whose claim still exists would report that the request never
+/// ran. A claim lives up to 1.25 times `claim_keep_ms`; the rest is for a service that extends
+/// leases when it restarts.
 const RETENTION_FACTOR: Millis = 4;
 
-/// How long an agent has to remember a key.
+/// How long an agent has to remember a key, in milliseconds.
 pub(super) fn retention_ms(state: &RouterState) -> Millis {
     state.knobs.claim_keep_ms * RETENTION_FACTOR
 }
 
-/// A claim that waits for the next write.
+/// A claim that is queued for the next batch write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WaitingClaim {
     /// The claim.
     pub write: ClaimWrite,
-    /// Router that asked for it; absent for an own one.
+    /// Router that forwarded it; absent for a claim of this router.
     pub guest: Option<InstanceId>,
 }
 
-/// A claim that another router was asked to write.
+/// A claim that was forwarded to another router to be written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AwayClaim {
     /// The claim.
     pub write: ClaimWrite,
-    /// When it is written here instead.
+    /// When it is queued here if no reply has come.
     pub until: Millis,
 }
 
-/// Claims that wait for the next write, and the lease they are attached to.
+/// Claims queued for the next batch write, and the lease that they are attached to.
 ///
 /// One write carries up to [`RouterKnobs::claim_batch`](super::RouterKnobs)
-/// claims. A lease is shared by all claims of an eighth of their life. In a
-/// fleet of many routers a few write for all, so that the rate of writes
-/// doesn't grow with the routers; who writes decides nothing else.
+/// claims. All claims written within an eighth of `claim_keep_ms` share a lease. In a
+/// fleet of many routers a few write the claims of all, so that the rate of writes
+/// doesn't grow with the number of routers; nothing else depends on which router writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClaimBatch {
-    /// Claims that wait.
+    /// Queued claims.
     pub waiting: Vec<WaitingClaim>,
-    /// Claims that other routers write.
+    /// Claims forwarded to other routers.
     pub away: Vec<AwayClaim>,
-    /// When the waiting ones are written.
+    /// When the queued claims are due to be written; earlier if a batch is full.
     pub due: Millis,
     /// Lease for new claims.
     pub lease: Option<i64>,
-    /// When the lease was asked for.
+    /// When the lease was requested.
     pub leased_at: Millis,
 }
 
-/// Adds an own claim: to the next write, or to that of the router that writes it.
+/// Queues an own claim, or forwards it to the router that writes it.
 pub(super) fn add(state: &mut RouterState, now: Millis, write: ClaimWrite, out: &mut Vec<Effect>) {
     match claim_writers::writer(state, &write.key) {
         Some(writer) => {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Adds the claims of another router to the next write.
+/// Queues the claims that another router has forwarded.
 pub(super) fn add_forwarded(
     state: &mut RouterState,
     now: Millis,
@@ -95,22 +95,24 @@
     state.claims.waiting.push(WaitingClaim { write, guest });
 }
 
-/// Takes a claim off the list of those that another router writes.
+/// Removes a claim from the forwarded ones; returns whether it was among them.
 pub(super) fn remove_forwarded(state: &mut RouterState, write: &ClaimWrite) -> bool {
     let before = state.claims.away.len();
     state.claims.away.retain(|a| &a.write != write);
     state.claims.away.len() < before
 }
 
-/// Writes what is due and renews the lease.
+/// Renews the lease, queues overdue forwarded claims and writes a batch if it is due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     renew_lease(state, now, out);
     requeue_overdue(state, now);
     let full = state.claims.waiting.len() >= state.knobs.claim_batch as usize;
     let due = !state.claims.waiting.is_empty() && (full || now >= state.claims.due);
-    let flying = state.calls.values();
-    let flying = flying.filter(|p| matches!(p, Purpose::Claims(_))).count();
-    if !due || flying >= MAX_BATCHES_IN_FLIGHT {
+    let in_flight = state.calls.values();
+    let in_flight = in_flight
+        .filter(|p| matches!(p, Purpose::Claims(_)))
+        .count();
+    if !due || in_flight >= MAX_BATCHES_IN_FLIGHT {
         return;
     }
     let Some(lease) = state.claims.lease else {
@@ -121,7 +123,7 @@
     state.call(Purpose::Claims(writes), op, out);
 }
 
-/// Writes here what another router hasn't answered in time.
+/// Queues forwarded claims for which no reply has come in time.
 fn requeue_overdue(state: &mut RouterState, now: Millis) {
     let away = std::mem::take(&mut state.claims.away);
     let (late, rest) = away.into_iter().partition(|a| now >= a.until);
@@ -132,14 +134,14 @@
     }
 }
 
-/// Takes writes for one swap; a key may stand in it only once.
+/// Takes the claims of the next batch from the queue; a key may occur in it only once.
 fn take_batch(state: &mut RouterState) -> Vec<WaitingClaim> {
     let limit = state.knobs.claim_batch as usize;
     let mut taken: Vec<WaitingClaim> = Vec::new();
     let mut left = Vec::new();
     for claim in std::mem::take(&mut state.claims.waiting) {
-        let twice = taken.iter().any(|t| t.write.key == claim.write.key);
-        if twice || taken.len() >= limit {
+        let duplicate = taken.iter().any(|t| t.write.key == claim.write.key);
+        if duplicate || taken.len() >= limit {
             left.push(claim);
         } else {
             taken.push(claim);
@@ -168,13 +170,15 @@
     }
 }
 
+/// Requests a new lease once the present one is an eighth of `claim_keep_ms` old.
 fn renew_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let keep = state.knobs.claim_keep_ms;
-    let young = state.claims.lease.is_some() && now < state.claims.leased_at + keep / 8;
-    if young || state.calling(|p| matches!(p, Purpose::ClaimLease(_))) {
+    let fresh = state.claims.lease.is_some() && now < state.claims.leased_at + keep / 8;
+    if fresh || state.calling(|p| matches!(p, Purpose::ClaimLease(_))) {
         return;
     }
-    // Claims written last under this lease still live for the whole time.
+    // A quarter longer than `claim_keep_ms`, so that claims written last under this lease are kept
+    // for the whole time.
     let ttl_s = (keep + keep / 4) / 1_000;
     let op = StoreCall::Grant {
         ttl_s: ttl_s.max(1),
--- a/src/logic/router/claim_writers.rs
+++ b/src/logic/router/claim_writers.rs
@@ -1,4 +1,4 @@
-//! Which routers write claims for all, so that writes don't grow with the routers.
+//! Which routers write the claims of all, so that the write rate doesn't grow with their number.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -6,10 +6,10 @@
 use crate::message::ClaimKey;
 use crate::types::InstanceId;
 
-/// Router that shall write a claim; `None` for this one, or where it can't be reached.
+/// Router that writes a claim; `None` if that is this router, or if it can't be reached.
 ///
-/// The same key meets the same writer as long as routers see the same list;
-/// where they don't, the claim's revision still decides.
+/// All routers with the same instance list choose the same writer for a key. With different lists
+/// two routers may write the same claim; its revision then decides.
 pub(super) fn writer(state: &RouterState, key: &ClaimKey) -> Option<InstanceId> {
     let writers = writers(state);
     if writers.is_empty() {
@@ -20,7 +20,7 @@
     (*chosen != state.me && reached).then(|| chosen.clone())
 }
 
-/// The writers; empty while every router writes its own claims.
+/// Routers that write claims; empty if there are so few that each one writes its own.
 pub(super) fn writers(state: &RouterState) -> Vec<InstanceId> {
     let listed = state.peers.iter().filter(|(_, p)| p.addr.is_some());
     let mut routers: Vec<_> = listed.map(|(id, _)| id).chain([&state.me]).collect();
--- a/src/logic/router/claiming.rs
+++ b/src/logic/router/claiming.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that may not be repeated: taken, found, given back.
+//! Claims of requests that may not be repeated: writing, settling and releasing them.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::message::{ClaimRecord, ClaimVerdict, ClaimWrite, Message};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
 
-/// Claims the request for the leader of a group; nothing is sent before.
+/// Writes a claim that binds the request to the leader of a group; the request is sent afterwards.
 pub(super) fn begin(
     state: &mut RouterState,
     now: Millis,
@@ -19,7 +19,7 @@
 ) {
     if !state.store_up {
         let hint = state.knobs.hint_ms;
-        let detail = "the key-value service is down, so it can't be claimed";
+        let detail = "the key-value service is down, so the request can't be claimed";
         return finish::give_up(
             state,
             now,
@@ -43,7 +43,7 @@
         agent: agent.clone(),
         group,
     };
-    // From here on the claim may stand, whatever answer comes.
+    // The claim may exist from here on, even if the reply to the write is lost.
     once.mine = true;
     let write = ClaimWrite {
         request: id,
@@ -62,7 +62,7 @@
     claim_batch::add(state, now, write, out);
 }
 
-/// Gives a claim back before "not run" is said.
+/// Marks the claim as released before the caller is answered `not_run`.
 pub(super) fn release(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let me = state.me.clone();
     let addr = state.addr;
@@ -89,7 +89,7 @@
     claim_batch::add(state, now, write, out);
 }
 
-/// A write of claims has ended: own ones are settled, those of guests answered.
+/// Handles the result of a batch write: settles own claims and replies about forwarded ones.
 pub(super) fn on_batch_written(
     state: &mut RouterState,
     now: Millis,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Another router has written own claims, or hasn't.
+/// Handles another router's reply about own claims that were forwarded to it.
 pub(super) fn on_claim_reply(
     state: &mut RouterState,
     now: Millis,
@@ -122,13 +122,14 @@
     out: &mut Vec<Effect>,
 ) {
     for (write, verdict) in answers {
-        // A claim that was taken back meanwhile is settled by its own write.
+        // A claim that has timed out and was queued here is settled by the write of this router.
         if claim_batch::remove_forwarded(state, &write) {
             on_verdict(state, now, write, verdict, out);
         }
     }
 }
 
+/// What the result of a batch write says about one claim.
 fn verdict_of(write: &ClaimWrite, result: &StoreResult) -> ClaimVerdict {
     match result {
         Ok(StoreReply::Swapped {
@@ -144,11 +145,12 @@
                 record: entry.and_then(|e| serde_json::from_str(&e.value).ok()),
             }
         }
-        // The write may have taken effect: the next one finds its own record.
+        // The write may have taken effect; in that case writing again finds the own record.
         _ => ClaimVerdict::Unknown,
     }
 }
 
+/// Handles the verdict on an own claim, unless its request has moved on.
 fn on_verdict(
     state: &mut RouterState,
     now: Millis,
@@ -175,7 +177,7 @@
                 on_claim_found(state, now, &write, &record, revision, out);
             }
         }
-        // The claim has run out while this request waited: the key is new again.
+        // The claim has expired while this request waited: it is written as a new one.
         ClaimVerdict::Stands {
             revision,
             record: None,
@@ -183,7 +185,7 @@
     }
 }
 
-/// Whether the request still waits for this very write.
+/// Whether the request still waits for exactly this write.
 fn is_waiting_for(state: &RouterState, write: &ClaimWrite) -> bool {
     let Some(request) = state.requests.get(&write.request) else {
         return false;
@@ -199,7 +201,7 @@
     }
 }
 
-/// The claim stands as this request wrote it.
+/// Handles a claim that stands as this request wrote it.
 fn on_claim_taken(
     state: &mut RouterState,
     now: Millis,
@@ -216,12 +218,12 @@
     once.attempt = write.record.attempt;
     once.incarnation = write.record.incarnation;
     once.revision = revision;
-    let note = Note::new(NoteCode::ClaimTaken)
+    let event = Note::new(NoteCode::ClaimTaken)
         .with("request", write.request)
         .with("claim", write.key)
         .with("attempt", write.record.attempt)
         .with("agent", &write.record.agent);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     match request.stage.clone() {
         Stage::Releasing(problem) => {
             finish::end_with_problem(state, now, write.request, *problem, out)
@@ -233,7 +235,7 @@
     }
 }
 
-/// Sends a claimed request, if the agent it is bound to is still the same.
+/// Sends a claimed request if its agent still has the incarnation in the claim.
 fn send_claimed(
     state: &mut RouterState,
     now: Millis,
@@ -246,12 +248,12 @@
     if up == Some(write.record.incarnation) {
         sending::send(state, now, write.request, agent, group, out);
     } else {
-        // Never sent under this attempt, so it may be bound anew.
+        // Nothing was sent under this attempt, so the claim may be bound to another agent.
         sending::park(state, now, write.request, out);
     }
 }
 
-/// The claim stands as another request wrote it.
+/// Handles a claim that another request wrote.
 fn on_claim_found(
     state: &mut RouterState,
     now: Millis,
@@ -260,12 +262,12 @@
     revision: i64,
     out: &mut Vec<Effect>,
 ) {
-    let note = Note::new(NoteCode::ClaimFound)
+    let event = Note::new(NoteCode::ClaimFound)
         .with("request", write.request)
         .with("claim", write.key)
         .with("attempt", record.attempt)
         .with("agent", &record.agent);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let Some(request) = state.requests.get_mut(&write.request) else {
         return;
     };
@@ -278,14 +280,14 @@
         let problem = Problem::not_run(422, detail);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
-    // A request that has met the claim before was there when it was given back;
-    // its caller may have been told "not run" through the other router.
-    let met_before = once.revision != 0;
+    // This request was already in flight when the claim was released: the same caller may have
+    // been answered `not_run` for it by another router, so it must not run here either.
+    let seen_before = once.revision != 0;
     once.attempt = record.attempt;
     once.incarnation = record.incarnation;
     once.revision = revision;
-    if record.released && met_before {
-        let detail = "another router has given the same request up";
+    if record.released && seen_before {
+        let detail = "a request with the same Idempotency-Key was given up";
         let problem = Problem::not_run(503, detail).retry_in(state.knobs.hint_ms);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -1,10 +1,12 @@
-//! The end of a request: exactly one final part to the caller.
+//! Ending a request: the caller gets exactly one final part.
 
 use super::{claiming, AnswerPart, Metric, Outcome, Problem, RouterState, Stage};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Millis, RequestId};
 
-/// Ends a request with a complete answer.
+/// Ends a request that the endpoint has answered.
+///
+/// An error status without any text becomes a problem with outcome `failed`.
 pub(super) fn complete(
     state: &mut RouterState,
     now: Millis,
@@ -19,18 +21,18 @@
     } else {
         AnswerPart::End { status }
     };
-    let note = Note::new(NoteCode::RequestAnswered)
+    let event = Note::new(NoteCode::RequestAnswered)
         .with("request", id)
         .with("status", status)
         .with("pieces", pieces);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     close(state, now, id, part, out);
 }
 
-/// Gives a request up: not run where that is proved, else unknown.
+/// Gives a request up: the outcome is `not_run` where that is proved, otherwise `unknown`.
 ///
-/// A claim that this request wrote is given back first, so that nobody can
-/// have bound it anew before "not run" is said.
+/// A claim that this request wrote is released before `not_run` is answered. The release fails if
+/// another request has bound the claim again in the meantime.
 pub(super) fn give_up(
     state: &mut RouterState,
     now: Millis,
@@ -50,7 +52,10 @@
         problem = Problem {
             status: 502,
             outcome: Outcome::Unknown,
-            detail: format!("an earlier attempt may have run; then: {}", problem.detail),
+            detail: format!(
+                "an earlier attempt may have run; last problem: {}",
+                problem.detail
+            ),
             ..problem
         };
     }
@@ -75,20 +80,21 @@
     close(state, now, id, AnswerPart::Problem(problem), out);
 }
 
-/// Writes the note of a request that wasn't answered.
+/// Logs that a request ends with a problem.
 pub(super) fn log_problem(id: RequestId, problem: &Problem, out: &mut Vec<Effect>) {
     let code = match problem.outcome {
         Outcome::NotRun => NoteCode::RequestNotRun,
         Outcome::Unknown => NoteCode::RequestUnknown,
         Outcome::Failed => NoteCode::RequestAnswered,
     };
-    let note = Note::new(code)
+    let event = Note::new(code)
         .with("request", id)
         .with("status", problem.status)
         .with("detail", &problem.detail);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
 }
 
+/// Sends the final part to the caller, measures the request and removes it.
 fn close(
     state: &mut RouterState,
     now: Millis,
@@ -112,7 +118,9 @@
     out.push(Effect::Answer { request: id, part });
 }
 
-/// Removes a request from all books.
+/// Removes a request from the state and from the counts of its group and client account.
+///
+/// `then` is called with its account, class and time of arrival.
 pub(super) fn remove_request(
     state: &mut RouterState,
     id: RequestId,
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -10,10 +10,10 @@
 /// A value of the key-value service with the revision of its last change.
 type Versioned<T> = (T, i64);
 
-/// A router's copy of what stands below `fleet/`.
+/// A router's copy of what the key-value service holds below `fleet/`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fleet {
-    /// Whether it has been read since the start or the last gap.
+    /// Whether a complete read has been applied since the last one was requested.
     pub read: bool,
     /// Domain records by name.
     pub domains: BTreeMap<Arc<str>, Versioned<DomainRecord>>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads everything, unless that is under way.
+/// Starts to read everything again, unless such a read is in flight.
 pub(super) fn start_read(state: &mut RouterState, out: &mut Vec<Effect>) {
     state.fleet.read = false;
     if state.calling(|p| *p == Purpose::ReadFleet) {
@@ -53,7 +53,9 @@
     state.call(Purpose::ReadFleet, op, out);
 }
 
-/// Takes up what was read and starts the watch behind it.
+/// Applies a complete read and starts the watch from the revision after it.
+///
+/// Domains that are known but weren't read count as deleted.
 pub(super) fn on_read(
     state: &mut RouterState,
     now: Millis,
@@ -87,7 +89,7 @@
     out.push(Effect::Watch { from: revision + 1 });
 }
 
-/// Takes up changes in order; the head comes last, so that its bundle is known.
+/// Applies changes in order, the head last, so that its bundle is known.
 pub(super) fn on_changes(
     state: &mut RouterState,
     now: Millis,
@@ -140,7 +142,9 @@
     serde_json::from_str(text).ok()
 }
 
-/// Takes up a domain's record, tells its leaders and ends what has left it.
+/// Applies a changed domain record, unless a newer one is known, and notifies the leaders.
+///
+/// A record that names an instance twice is logged and not used.
 pub(super) fn on_domain_change(
     state: &mut RouterState,
     now: Millis,
@@ -158,10 +162,10 @@
         return;
     };
     if let Some(instance) = record.shared_instance() {
-        let note = Note::new(NoteCode::RecordInvalid)
+        let event = Note::new(NoteCode::RecordInvalid)
             .with("domain", domain)
             .with("instance", instance);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
         return;
     }
     let name = record.domain.clone();
--- a/src/logic/router/fleet_status.rs
+++ b/src/logic/router/fleet_status.rs
@@ -8,15 +8,15 @@
     pub router: String,
     /// Its data hall.
     pub hall: String,
-    /// Bundle in force.
+    /// Number of the bundle in force; 0 before the first.
     pub bundle: u64,
-    /// Whether that is proved to be the newest.
+    /// Whether the proof that it is the newest is recent enough.
     pub proven: bool,
     /// Whether the key-value service answers.
     pub store_up: bool,
-    /// Whether this router plans its hall.
+    /// Whether this router holds the planner lease of its hall.
     pub planner: bool,
-    /// Requests in flight here.
+    /// Requests in flight at the router.
     pub requests: usize,
     /// Groups.
     pub groups: Vec<GroupStatus>,
--- a/src/logic/router/group_status.rs
+++ b/src/logic/router/group_status.rs
@@ -13,12 +13,12 @@
     pub version: String,
     /// Members in rank order.
     pub members: Vec<String>,
-    /// `open`, or why it isn't.
+    /// `open`, or why the group takes no work.
     pub state: String,
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// Slots.
+    /// Requests it runs at once.
     pub slots: u32,
 }
--- a/src/logic/router/head.rs
+++ b/src/logic/router/head.rs
@@ -4,26 +4,27 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Bundle, Head, Millis};
 
-/// Which bundle is in force at a router, and how well that is proved.
+/// Which bundle is in force at a router, and when it was last proved to be the newest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HeadView {
     /// The bundle in force.
     pub bundle: Option<Arc<Bundle>>,
-    /// Newest head seen in the service, which may be ahead of the bundle in force.
+    /// Newest head seen in the key-value service, which may be ahead of the bundle in force.
     pub head: Head,
     /// Revision of that head.
     pub revision: i64,
     /// Time up to which the bundle in force is known to have been the newest.
     pub proven_at: Option<Millis>,
-    /// When the service is asked next.
+    /// When the head is read next from the key-value service.
     pub prove_at: Millis,
-    /// When peers are asked next.
+    /// When other routers are asked next.
     pub ask_at: Millis,
-    /// Whether the proof was good at the last look.
+    /// Whether the proof was recent enough at the last check, to log changes.
     pub was_proven: bool,
 }
 
-/// Whether new work may be taken: no other bundle can have been in force for long.
+/// Whether new work may be taken: the last proof that the bundle in force is the newest is less
+/// than `proof_ms` old.
 pub(super) fn is_proven(state: &RouterState, now: Millis) -> bool {
     if !state.rules.head_proof {
         return true;
@@ -32,13 +33,13 @@
     state.head.proven_at.is_some_and(|at| now < at + limit)
 }
 
-/// Counts a proof that the bundle in force was the newest at `at`.
+/// Records a proof that the bundle in force was the newest at time `at`.
 pub(super) fn record_proof(state: &mut RouterState, at: Millis) {
     let before = state.head.proven_at.unwrap_or(0);
     state.head.proven_at = Some(before.max(at));
 }
 
-/// Asks the service for the head when that is due.
+/// Reads the head from the key-value service when that is due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     log_proof_change(state, now, out);
     if now < state.head.prove_at {
@@ -55,6 +56,7 @@
     state.call(Purpose::ProveHead(now), op, out);
 }
 
+/// Logs when the proof has become too old or recent enough again.
 fn log_proof_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let proven = is_proven(state, now);
     if proven == state.head.was_proven {
@@ -69,7 +71,8 @@
     out.push(Effect::Note(Note::new(code).with("bundle", state.number())));
 }
 
-/// The service has answered which head it holds.
+/// Handles a read of the head. If the bundle in force is the one read, it was the newest at the
+/// time of the call.
 pub(super) fn on_head_read(
     state: &mut RouterState,
     now: Millis,
@@ -90,7 +93,9 @@
     }
 }
 
-/// A head was seen in the service.
+/// Handles a head that was read from the key-value service or written to it.
+///
+/// A newer one is put in force; its bundle is read first if it isn't known.
 pub(super) fn on_head(
     state: &mut RouterState,
     now: Millis,
@@ -100,10 +105,10 @@
 ) {
     if head.number < state.head.head.number {
         if revision > state.head.revision {
-            let note = Note::new(NoteCode::HeadWentBack)
+            let event = Note::new(NoteCode::HeadWentBack)
                 .with("found", head.number)
                 .with("in_force", state.number());
-            out.push(Effect::Note(note));
+            out.push(Effect::Note(event));
         }
         return;
     }
@@ -119,7 +124,7 @@
     }
 }
 
-/// Puts a bundle in force, if it is newer; an older one never comes back.
+/// Puts a bundle in force if it is newer than the present one; the number never decreases.
 pub(super) fn adopt(
     state: &mut RouterState,
     now: Millis,
@@ -129,8 +134,8 @@
     if bundle.number <= state.number() {
         return;
     }
-    let note = Note::new(NoteCode::BundleInForce).with("bundle", bundle.number);
-    out.push(Effect::Note(note));
+    let event = Note::new(NoteCode::BundleInForce).with("bundle", bundle.number);
+    out.push(Effect::Note(event));
     state.head.bundle = Some(bundle);
     state.head.proven_at = None;
     state.head.prove_at = now;
--- a/src/logic/router/keys.rs
+++ b/src/logic/router/keys.rs
@@ -1,13 +1,13 @@
 /// Names of the keys in the platform's key-value service.
 ///
-/// Everything that routers watch stands below `fleet/`; claims and planner
-/// leases stand apart, so that watchers don't hear of them.
+/// Everything that routers watch is below `fleet/`. Claims and planner leases aren't, so that their
+/// changes aren't sent to the watchers.
 pub struct Keys;
 
 impl Keys {
-    /// Prefix of all that is watched.
+    /// Prefix of all keys that are watched.
     pub const FLEET: &'static str = "runrail/fleet/";
-    /// The head.
+    /// The head: which bundle is in force.
     pub const HEAD: &'static str = "runrail/fleet/head";
     /// Prefix of domain records.
     pub const DOMAINS: &'static str = "runrail/fleet/domain/";
--- a/src/logic/router/metric.rs
+++ b/src/logic/router/metric.rs
@@ -1,13 +1,13 @@
-/// What is measured of requests, by client account and class.
+/// Metrics of requests, by client account and class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Metric {
-    /// Milliseconds from arrival to the first piece.
+    /// Time from arrival to the first piece, in milliseconds.
     FirstPiece,
-    /// Milliseconds from arrival to the end.
+    /// Time from arrival to the end, in milliseconds; neither for `NotRun` nor for `Unknown`.
     Total,
     /// Requests that were not run.
     NotRun,
-    /// Requests whose outcome stayed unknown.
+    /// Requests that ended with an unknown outcome.
     Unknown,
     /// Attempts after the first.
     Retry,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether values are durations, for which a histogram is kept.
+    /// Whether it is a duration, for which a histogram is kept.
     pub fn is_duration(self) -> bool {
         matches!(self, Metric::FirstPiece | Metric::Total)
     }
--- a/src/logic/router/mod.rs
+++ b/src/logic/router/mod.rs
@@ -1,8 +1,8 @@
 //! Decisions of a router, the process on an entry instance.
 //!
-//! A router takes callers' requests, chooses groups for them, settles their
-//! outcome and answers operators. One router of each data hall also plans that
-//! hall's groups while it holds the hall's planner lease.
+//! A router admits callers' requests, sends them to groups, tracks their outcome and answers
+//! operators. One router of each data hall also plans that hall's groups while it holds the hall's
+//! planner lease.
 
 mod accept;
 mod agent_view;
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -1,11 +1,11 @@
-//! What operators ask: submit, approve, roll, look.
+//! Operators' calls: submitting, approving and rolling bundles, and reading the status.
 
 use super::{fleet, roll, status, Check, Keys, OperatorCall, OperatorReply, Problem, Purpose, Put};
 use super::{RouterState, StoreCall, StoreReply, StoreResult};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Approval, Bundle, BundleBody, BundleFault, Millis};
 
-/// Serves an operator's call.
+/// Handles an operator's call.
 pub(super) fn on_call(
     state: &mut RouterState,
     now: Millis,
@@ -73,6 +73,7 @@
     state.call(Purpose::Submit { job, number }, op, out);
 }
 
+/// A write that succeeds only if the key doesn't exist yet.
 fn create_key<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
     StoreCall::Swap {
         checks: vec![Check {
@@ -89,7 +90,7 @@
     }
 }
 
-/// A bundle's write has ended.
+/// Handles the result of writing a submitted bundle.
 pub(super) fn on_submit_result(
     state: &mut RouterState,
     job: u64,
@@ -99,8 +100,8 @@
 ) {
     match result {
         Ok(StoreReply::Swapped { done: true, .. }) => {
-            let note = Note::new(NoteCode::BundleSubmitted).with("bundle", number);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::BundleSubmitted).with("bundle", number);
+            out.push(Effect::Note(event));
             out.push(Effect::Reply {
                 job,
                 reply: OperatorReply::Submitted(number),
@@ -108,12 +109,14 @@
         }
         Ok(_) => {
             fleet::start_read(state, out);
-            let detail = format!("bundle {number} was submitted by another at the same moment");
+            let detail = format!(
+                "bundle {number} was submitted by another call at the same time; submit again"
+            );
             reply_problem(job, Problem::not_run(409, detail), out);
         }
         Err(_) => {
             let detail = format!(
-                "no answer came; `runrail bundle status` shows whether bundle {number} was stored"
+                "result unknown; `runrail bundle status` shows whether bundle {number} was stored"
             );
             reply_problem(job, Problem::unknown(504, detail), out);
         }
@@ -140,7 +143,7 @@
     state.call(Purpose::Approve { job, number, by }, op, out);
 }
 
-/// An approval's write has ended.
+/// Handles the result of writing an approval. One that exists already counts as success.
 pub(super) fn on_approve_result(
     state: &mut RouterState,
     job: u64,
@@ -149,7 +152,7 @@
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
-    let stands = match result {
+    let stored = match result {
         Ok(StoreReply::Swapped { done, revision, .. }) => {
             let approval = Approval { number, by };
             if done {
@@ -159,12 +162,12 @@
         }
         _ => false,
     };
-    if !stands {
-        let detail = "no answer came; approving again does no harm";
+    if !stored {
+        let detail = "result unknown; approving again is safe";
         return reply_problem(job, Problem::unknown(504, detail), out);
     }
-    let note = Note::new(NoteCode::BundleApproved).with("bundle", number);
-    out.push(Effect::Note(note));
+    let event = Note::new(NoteCode::BundleApproved).with("bundle", number);
+    out.push(Effect::Note(event));
     out.push(Effect::Reply {
         job,
         reply: OperatorReply::Approved(number),
--- a/src/logic/router/operator_call.rs
+++ b/src/logic/router/operator_call.rs
@@ -1,6 +1,6 @@
 use crate::types::BundleBody;
 
-/// What an operator asks of a router.
+/// An operator's call to a router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OperatorCall {
     /// Store a new bundle.
@@ -10,7 +10,7 @@
         /// The bundle.
         body: Box<BundleBody>,
     },
-    /// Sign a bundle off.
+    /// Approve a bundle.
     Approve {
         /// The operator; must not be the author.
         by: String,
@@ -26,6 +26,6 @@
     },
     /// List bundles.
     Bundles,
-    /// Show the fleet.
+    /// Show the status of the fleet.
     Status,
 }
--- a/src/logic/router/operator_reply.rs
+++ b/src/logic/router/operator_reply.rs
@@ -10,17 +10,17 @@
     Approved(u64),
     /// The bundle is in force.
     Rolled(u64),
-    /// Bundles, approvals and the number in force.
+    /// Bundles, approvals and the number of the bundle in force.
     Bundles {
-        /// Bundles in order.
+        /// Bundles by number.
         bundles: Vec<Bundle>,
-        /// Approvals in order.
+        /// Approvals by number.
         approvals: Vec<Approval>,
-        /// Number in force.
+        /// Number of the bundle in force.
         head: u64,
     },
-    /// The fleet.
+    /// Status of the fleet.
     Status(Box<FleetStatus>),
-    /// It can't be done, or its result isn't known.
+    /// The call was refused, or its result isn't known.
     Problem(Problem),
 }
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -9,19 +9,19 @@
 /// A router's view of another router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerView {
-    /// Where it listens; absent when it is known only from its own questions.
+    /// Where it listens; absent if it isn't listed and known only from its queries.
     pub addr: Option<SocketAddr>,
     /// Whether a session is open.
     pub up: bool,
-    /// Whether it is dialled at present.
+    /// Whether this router dials it and keeps a session with it.
     pub dialled: bool,
-    /// When the question was asked that it last answered without being ahead.
+    /// When the last query was sent to which it replied without being ahead.
     pub heard_at: Option<Millis>,
-    /// Whether it has answered since this process started, so that it knows of us.
+    /// Whether it has replied since this process started, so that it knows this router.
     pub met: bool,
 }
 
-/// Takes the other routers over from the instance list.
+/// Updates the other routers from a new instance list.
 pub(super) fn on_list(state: &mut RouterState, out: &mut Vec<Effect>) {
     let listed: Vec<_> = state
         .instances
@@ -57,7 +57,9 @@
     }
 }
 
-/// Asks peers while the service gives no proof, and those that were never met.
+/// Queries the other routers while the last proof is older than half of `proof_ms`, and at any
+/// time those that have never replied. Sessions are kept only with routers that are queried or
+/// that write claims.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     prove_by_peers(state, now);
     if now < state.head.ask_at {
@@ -107,9 +109,10 @@
     }
 }
 
-/// Where every peer has said that it isn't ahead, none has accepted a newer bundle.
+/// Records a proof if every other router has replied that it has no newer bundle.
 ///
-/// Acceptance goes through a router, so the oldest of their answers is a proof.
+/// A bundle is put in force only through a router, so at the time of the oldest of these queries no
+/// newer one was in force.
 fn prove_by_peers(state: &mut RouterState, now: Millis) {
     let unsettled = state.rules.settled_only && state.roll.is_some();
     if !state.list_known || unsettled {
@@ -125,10 +128,10 @@
     head::record_proof(state, oldest);
 }
 
-/// A session with another router has opened or closed.
+/// Handles a session with another router that has opened or closed.
 pub(super) fn on_session(state: &mut RouterState, now: Millis, id: &InstanceId, up: bool) {
     if up {
-        // Ask at once instead of at the next round.
+        // Query at once instead of at the next interval.
         state.head.ask_at = now;
     }
     if let Some(peer) = state.peers.get_mut(id) {
@@ -136,7 +139,7 @@
     }
 }
 
-/// Another router asks which bundle is in force here.
+/// Handles another router's query for the bundle in force here.
 pub(super) fn on_head_ask(
     state: &mut RouterState,
     now: Millis,
@@ -145,7 +148,8 @@
     number: u64,
     out: &mut Vec<Effect>,
 ) {
-    // Whoever can accept a bundle must be heard before unanimity counts.
+    // A router that can put a bundle in force must have replied before a proof by all others
+    // counts.
     state
         .peers
         .entry(from.id.clone())
@@ -168,7 +172,10 @@
     }
 }
 
-/// Another router has answered.
+/// Handles another router's reply.
+///
+/// A newer bundle in it is put in force. A reply from a router with the same bundle also passes on
+/// the age of its own proof.
 pub(super) fn on_head_reply(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/problem.rs
+++ b/src/logic/router/problem.rs
@@ -2,16 +2,16 @@
 
 use crate::types::Millis;
 
-/// Final answer to a request that the system couldn't answer in full.
+/// Final part of the answer to a request that wasn't answered completely.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Problem {
     /// HTTP status.
     pub status: u16,
-    /// What is known.
+    /// What is known about whether it ran.
     pub outcome: Outcome,
     /// What happened and what to try.
     pub detail: String,
-    /// When to come back, in milliseconds.
+    /// Hint for the caller when to try again, in milliseconds.
     pub retry_ms: Option<Millis>,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Says when to come back.
+    /// Adds a hint when to try again.
     pub fn retry_in(mut self, ms: Millis) -> Self {
         self.retry_ms = Some(ms);
         self
--- a/src/logic/router/put.rs
+++ b/src/logic/router/put.rs
@@ -5,6 +5,6 @@
     pub key: String,
     /// The value.
     pub value: String,
-    /// Lease that deletes the key when it ends.
+    /// Lease that the key is attached to; the key is deleted when the lease ends.
     pub lease: Option<i64>,
 }
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/recalling.rs
@@ -1,4 +1,4 @@
-//! Asking the agent in a claim what became of the request.
+//! Queries to the agent named in a claim about what became of the request.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use crate::message::{Message, Once, Recall, RunId};
 use crate::types::{InstanceId, Millis, RequestId};
 
-/// Time between two questions, in milliseconds.
+/// Time between two queries about the same request.
 const QUERY_INTERVAL_MS: Millis = 500;
 
-/// Begins to ask about a claim that another request wrote.
+/// Starts to query the agent named in a claim, which another request may have written.
 pub(super) fn begin(
     state: &mut RouterState,
     now: Millis,
@@ -32,7 +32,7 @@
     send_query(state, now, id, out);
 }
 
-/// Begins to ask about an own attempt whose session was lost.
+/// Starts to query an agent about an attempt that this router has sent to it.
 pub(super) fn begin_own(
     state: &mut RouterState,
     now: Millis,
@@ -46,7 +46,7 @@
     begin(state, now, id, agent, addr, out);
 }
 
-/// Asks again as time passes.
+/// Sends the queries that are due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let due: Vec<_> = state
         .requests
@@ -59,7 +59,7 @@
     }
 }
 
-/// A session with an agent has opened: ask it at once.
+/// Queries an agent at once when a session with it has opened.
 pub(super) fn on_agent_up(
     state: &mut RouterState,
     now: Millis,
@@ -77,6 +77,10 @@
     }
 }
 
+/// Queries the agent, if there is a session with it.
+///
+/// The request ends with outcome `unknown` if the agent has restarted since the claim was written
+/// or if too many attempts and queries were made.
 fn send_query(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let keep_ms = claim_batch::retention_ms(state);
     let limit = state.knobs.claim_tries;
@@ -100,11 +104,11 @@
         return;
     };
     if state.rules.incarnation_check && up != once.incarnation {
-        let detail = "the agent in its claim has restarted; it may have run and is not run again";
+        let detail = "its agent has restarted; the request may have run and is not run again";
         return finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
     }
     if request.attempt >= limit {
-        let detail = "other routers try the same key; ask again with it";
+        let detail = "other routers are trying the same Idempotency-Key; try again with it";
         let problem = Problem::unknown(409, detail).retry_in(hint);
         return finish::give_up(state, now, id, problem, out);
     }
@@ -124,7 +128,7 @@
     });
 }
 
-/// An agent has answered.
+/// Handles an agent's reply to a query.
 pub(super) fn on_query_reply(
     state: &mut RouterState,
     now: Millis,
@@ -145,14 +149,15 @@
     match recall {
         Recall::NotSeen => {
             if let Stage::Recalling { ask_at, bar, .. } = &mut request.stage {
-                // Whoever wrote the claim may be about to send it.
+                // The router that wrote the claim may still be about to send the attempt: it gets
+                // `recall_ms` before the next query bars it.
                 *ask_at = now + state.knobs.recall_ms;
                 *bar = true;
             }
         }
         Recall::NotRun => {
-            let note = Note::new(NoteCode::ClaimRebound).with("request", id);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::ClaimRebound).with("request", id);
+            out.push(Effect::Note(event));
             request.stage = Stage::Parked(now);
             sending::dispatch(state, now, id, out);
         }
@@ -169,13 +174,13 @@
             finish::complete(state, now, id, status, out);
         }
         Recall::Lost => {
-            let detail = "it was handed over and its answer is lost; it is not run again";
+            let detail = "the request may have run and its answer is lost; it is not run again";
             finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
         }
     }
 }
 
-/// Passes on what the caller doesn't have yet.
+/// Passes on the part of the answer that the caller doesn't have yet.
 fn deliver_missing(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/request.rs
+++ b/src/logic/router/request.rs
@@ -5,10 +5,10 @@
 use crate::message::{ClaimKey, RunId};
 use crate::types::{GroupId, InstanceId, Millis, ModelKind, RequestId};
 
-/// Where a request stands.
+/// Stage of a request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// Tried again at this time.
+    /// Dispatched again at this time.
     Parked(Millis),
     /// Its claim is being written, bound to this agent.
     Claiming {
@@ -24,17 +24,17 @@
         /// The group; absent where the run was found through its claim.
         group: Option<GroupId>,
     },
-    /// Its claim is being given back, then this answer goes out.
+    /// Its claim is being released; this answer follows.
     Releasing(Box<Problem>),
-    /// Asking the agent in the claim what became of it.
+    /// The agent named in its claim is queried about what became of it.
     Recalling {
         /// That agent.
         agent: InstanceId,
         /// Where it listens.
         addr: SocketAddr,
-        /// Next time to ask.
+        /// Time of the next query.
         ask_at: Millis,
-        /// Whether the next question bars an attempt that hasn't been seen.
+        /// Whether the next query bars the attempt from running if the agent hasn't seen it.
         bar: bool,
     },
 }
@@ -42,13 +42,13 @@
 /// Claim of a request that may not be repeated, as the router knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OnceClaim {
-    /// Key.
+    /// Its key.
     pub key: ClaimKey,
-    /// Hash of the content.
+    /// Hash of the request's content.
     pub content: ClaimKey,
-    /// Attempt in the claim; 0 before it exists.
+    /// Attempt number in the claim; 0 before it exists.
     pub attempt: u32,
-    /// Incarnation in the claim.
+    /// Incarnation of the agent in the claim.
     pub incarnation: u64,
     /// Revision of the claim; 0 before it exists.
     pub revision: i64,
@@ -77,28 +77,28 @@
     pub path: Arc<str>,
     /// Body.
     pub body: Arc<str>,
-    /// When it came.
+    /// When it arrived.
     pub since: Millis,
-    /// When its caller gives up.
+    /// When its deadline passes.
     pub deadline: Millis,
-    /// Present when it may not be repeated.
+    /// State of its claim; present if it may not be repeated.
     pub once: Option<OnceClaim>,
-    /// Where it stands.
+    /// Its stage.
     pub stage: Stage,
-    /// Attempts made.
+    /// Number of the last attempt; queries to agents count too.
     pub attempt: u32,
     /// Whether an earlier attempt may have run.
     pub maybe_ran: bool,
     /// Pieces passed on to the caller.
     pub pieces: u64,
-    /// Their text, for a run that continues behind them.
+    /// Their text, for an attempt that continues after them.
     pub text: String,
-    /// Group that refused or broke the last attempt.
+    /// Group of the last attempt that was refused or broke; avoided if there is another one.
     pub avoid: Option<GroupId>,
 }
 
 impl Request {
-    /// The present attempt.
+    /// Id of the present attempt.
     pub fn run(&self) -> RunId {
         RunId {
             request: self.id,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Group of the attempt that is under way.
+    /// Group of the attempt in flight.
     pub fn group(&self) -> Option<&GroupId> {
         match &self.stage {
             Stage::Sent { group, .. } => group.as_ref(),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Time left until the deadline.
+    /// Time left until the deadline, in milliseconds.
     pub fn left(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -1,13 +1,13 @@
-//! Putting a bundle in force: one write that is settled before peers are told.
+//! Putting a bundle in force: a single write, whose result is known before other routers are told.
 
 use super::{head, Check, Keys, OperatorReply, Problem, Purpose, Put, RouterState, StoreCall};
 use super::{StoreReply, StoreResult};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Head, Millis};
 
-/// Time between two tries of a write whose answer was lost, in milliseconds.
+/// Time before a write whose reply was lost is repeated.
 const RETRY_INTERVAL_MS: Millis = 500;
-/// Time after which the operator is told that the result isn't known, in milliseconds.
+/// Time after which the operator is answered that the result isn't known; writing goes on.
 const REPLY_TIMEOUT_MS: Millis = 8_000;
 
 /// A roll whose result isn't known yet.
@@ -17,15 +17,15 @@
     pub head: Head,
     /// Revision that the head must have.
     pub revision: i64,
-    /// Operator's call that waits for the result.
+    /// Operator's call that waits for the result; `None` once it is answered.
     pub job: Option<u64>,
-    /// When it was asked for.
+    /// When the operator asked for it.
     pub since: Millis,
-    /// When it is tried next.
+    /// When the write is repeated next.
     pub retry_at: Millis,
 }
 
-/// Begins a roll.
+/// Starts a roll, or answers why it can't be done.
 pub(super) fn begin(
     state: &mut RouterState,
     now: Millis,
@@ -52,6 +52,7 @@
     on_tick(state, now, out);
 }
 
+/// Whether a bundle can be put in force by this router now.
 fn check_roll(state: &RouterState, number: u64) -> Result<(), Problem> {
     if !state.fleet.read {
         return Err(Problem::not_run(
@@ -62,7 +63,7 @@
     if state.roll.is_some() {
         return Err(Problem::not_run(
             409,
-            "another roll is under way at this router",
+            "another roll is in progress at this router",
         ));
     }
     if !state.fleet.bundles.contains_key(&number) {
@@ -80,38 +81,39 @@
         let detail = format!("found {number}, expected a number above {head}, which is in force");
         return Err(Problem::not_run(409, detail));
     }
-    let strangers: Vec<_> = state
+    let unmet: Vec<_> = state
         .peers
         .iter()
         .filter(|(_, p)| p.addr.is_some() && !p.met)
         .map(|(id, _)| id.to_string())
         .collect();
-    if !strangers.is_empty() {
+    if !unmet.is_empty() {
         let detail = format!(
-            "this router hasn't met {} yet; ask another router",
-            strangers.join(", ")
+            "this router has had no reply from {} yet; use another router",
+            unmet.join(", ")
         );
         return Err(Problem::not_run(503, detail));
     }
     Ok(())
 }
 
-/// Writes or writes again until the result is known.
+/// Writes the head, again and again until the result is known.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let flying = state.calling(|p| *p == Purpose::Roll);
+    let in_flight = state.calling(|p| *p == Purpose::Roll);
     let Some(roll) = &mut state.roll else {
         return;
     };
     if now >= roll.since + REPLY_TIMEOUT_MS {
         if let Some(job) = roll.job.take() {
-            let detail = "the service doesn't answer; look at the status before trying again";
+            let detail =
+                "the key-value service doesn't answer; check the status before trying again";
             out.push(Effect::Reply {
                 job,
                 reply: OperatorReply::Problem(Problem::unknown(504, detail)),
             });
         }
     }
-    if flying || now < roll.retry_at {
+    if in_flight || now < roll.retry_at {
         return;
     }
     let number = roll.head.number;
@@ -131,9 +133,10 @@
     state.call(Purpose::Roll, op, out);
 }
 
-/// Bundles kept behind the one in force.
+/// Older bundles that are kept when a new one is put in force.
 const MAX_OLD_BUNDLES: u64 = 32;
 
+/// Keys to delete when a bundle is put in force: those of the bundle `MAX_OLD_BUNDLES` before it.
 fn old_bundle_keys(number: u64) -> Vec<String> {
     match number.checked_sub(MAX_OLD_BUNDLES) {
         Some(old) if old > 0 => vec![Keys::bundle(old), Keys::approval(old)],
@@ -141,7 +144,8 @@
     }
 }
 
-/// The write has ended, or its answer was lost.
+/// Handles the result of the write. If the reply was lost, the nonce of the head that is found
+/// tells whether the write took effect.
 pub(super) fn on_written(
     state: &mut RouterState,
     now: Millis,
@@ -177,15 +181,16 @@
     }
 }
 
+/// Handles a head that is known to be written: puts its bundle in force and answers the operator.
 fn on_accepted(state: &mut RouterState, now: Millis, revision: i64, out: &mut Vec<Effect>) {
     let Some(roll) = state.roll.take() else {
         return;
     };
     let number = roll.head.number;
-    let note = Note::new(NoteCode::BundleRolled)
+    let event = Note::new(NoteCode::BundleRolled)
         .with("bundle", number)
         .with("by", &roll.head.by);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     head::on_head(state, now, roll.head, revision, out);
     if let Some(job) = roll.job {
         out.push(Effect::Reply {
@@ -195,6 +200,7 @@
     }
 }
 
+/// Handles another head with the same or a higher number, which is in force instead.
 fn on_lost_race(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -2,46 +2,47 @@
 use crate::message::LeadReport;
 use crate::types::{GroupId, InstanceId, Millis, ModelKind, Phase};
 
-/// Weight of the old mean against one new run time.
+/// Weight of the previous mean against one new value in the moving average.
 const MEAN_WEIGHT: u64 = 7;
-/// Part of a run time that a full group costs beyond waiting.
-const CROWD_DIVISOR: u64 = 4;
-/// Run time assumed of a group before the first run ends, in milliseconds.
+/// Inverse part of a run time that a fully occupied group costs beyond its waiting time.
+const OCCUPANCY_DIVISOR: u64 = 4;
+/// Run time assumed for a group before its first run has ended.
 const DEFAULT_RUN_MS: Millis = 200;
-/// Candidates in the own hall that are compared.
+/// Candidates in the own data hall that are compared.
 const MAX_NEAR_SAMPLES: usize = 3;
-/// Candidates in other halls that are compared with them.
+/// Candidates in other data halls that are compared with them.
 const MAX_FAR_SAMPLES: usize = 1;
-/// Bytes of a body that count as its prefix.
+/// Length of the part of a body that is hashed as its prefix.
 const PREFIX_BYTES: usize = 512;
-/// Prefixes that are remembered.
+/// Prefixes for which the last chosen group is remembered.
 const MAX_PREFIXES: usize = 4_096;
 
 /// How a group is chosen among those that are open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RoutePolicy {
-    /// Compares a few and takes the one with the least expected wait.
+    /// The one with the lowest expected cost, mostly waiting time, of a few random groups.
     #[default]
     LeastWait,
-    /// Any; a baseline.
+    /// A random one; a baseline for comparison.
     Random,
-    /// In turn; a baseline.
+    /// The next one in turn; a baseline for comparison.
     RoundRobin,
 }
 
 /// Load of one group as a router counts it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GroupLoad {
-    /// Own requests in flight there.
+    /// Attempts of this router in flight there.
     pub own: u32,
-    /// Own requests sent since the group's last report.
+    /// Attempts that this router has sent since the leader's last report.
     pub since_report: u32,
-    /// Mean time of own runs, in milliseconds; 0 before the first.
+    /// Moving mean of the time from the arrival of a request to its complete answer there, in
+    /// milliseconds; 0 before the first.
     pub mean_ms: Millis,
 }
 
 impl GroupLoad {
-    /// Counts a run that has ended.
+    /// Adds a request that was answered completely after `took` milliseconds.
     pub fn ended(&mut self, took: Millis) {
         self.mean_ms = match self.mean_ms {
             0 => took.max(1),
@@ -50,15 +51,16 @@
     }
 }
 
-/// A group that could take a request.
+/// A group that can take a request.
 #[derive(Clone, Debug)]
 struct Candidate {
     agent: InstanceId,
     group: GroupId,
-    /// Expected extra time, in milliseconds.
+    /// Expected cost by which candidates are compared, in milliseconds.
     cost: Millis,
-    /// Least time until it would start there, in milliseconds.
+    /// Time until the request would start there, in milliseconds.
     wait: Millis,
+    /// Whether the group is in the router's data hall.
     near: bool,
 }
 
@@ -68,7 +70,11 @@
     pub group: GroupId,
 }
 
-/// Chooses a group for a request, or says why none can take it.
+/// Chooses a group for a request.
+///
+/// # Errors
+/// A problem with outcome `not_run` if no group takes work, or if the request would start after its
+/// deadline.
 pub(super) fn choose(
     state: &mut RouterState,
     now: Millis,
@@ -80,7 +86,7 @@
     }
     let hint = state.knobs.hint_ms;
     if candidates.is_empty() {
-        let detail = format!("no group of {:?} takes work now", request.model);
+        let detail = format!("no group of model {:?} takes work now", request.model);
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
     let best = match state.knobs.policy {
@@ -94,9 +100,12 @@
     let best = candidates.swap_remove(best);
     let left = request.left(now);
     if best.wait >= left {
-        let detail = format!("it would start in {} ms, after its deadline", best.wait);
-        let over = best.wait - left;
-        return Err(Problem::not_run(503, detail).retry_in(over.max(hint)));
+        let detail = format!(
+            "the request would start in {} ms, after its deadline",
+            best.wait
+        );
+        let excess = best.wait - left;
+        return Err(Problem::not_run(503, detail).retry_in(excess.max(hint)));
     }
     remember_prefix(state, request, &best.group);
     Ok(Choice {
@@ -105,6 +114,7 @@
     })
 }
 
+/// Groups that serve the request's model and are open.
 fn candidates(state: &RouterState, now: Millis, request: &Request) -> Vec<Candidate> {
     let mut found = Vec::new();
     for (agent, view) in &state.agents {
@@ -139,9 +149,9 @@
     found
 }
 
-/// Least time until a start, and expected extra time, from reports and own work.
+/// Waiting time and expected cost at a group, both in milliseconds.
 ///
-/// Reports lag, so what this router has sent since the last one counts on top.
+/// Reports lag, so the attempts that this router has sent since the last one are added to the cost.
 fn expected_cost(state: &RouterState, priority: u8, lead: &LeadReport) -> (Millis, Millis) {
     let load = state.loads.get(&lead.group).copied().unwrap_or_default();
     let slots = u64::from(lead.slots.max(1));
@@ -153,13 +163,16 @@
         (mean, _) => mean,
     };
     let sent = u64::from(load.since_report);
-    let crowd = u64::from(lead.running) + sent;
-    // Waiting first; among groups without any, the least crowded; slow ones last.
-    let cost = class.wait_ms + sent * mean / slots + crowd * mean / slots / CROWD_DIVISOR + mean;
+    let occupied = u64::from(lead.running) + sent;
+    // Waiting time counts in full; occupancy decides among groups without waiting requests. The
+    // mean run time makes slow groups more expensive.
+    let cost =
+        class.wait_ms + sent * mean / slots + occupied * mean / slots / OCCUPANCY_DIVISOR + mean;
     (class.wait_ms, cost)
 }
 
-/// A group that has just opened is filled gradually instead of all at once.
+/// Extra cost of a group that has just opened, so that it is filled gradually: for each own attempt
+/// in flight there, a tenth of the remaining ramp time, in milliseconds.
 fn ramp_cost(state: &RouterState, now: Millis, opened_at: Millis, group: &GroupId) -> Millis {
     let age = now.saturating_sub(opened_at);
     if age >= state.knobs.ramp_ms {
@@ -169,7 +182,10 @@
     own * (state.knobs.ramp_ms - age) / 10
 }
 
-/// Compares a few random candidates; a prefix hint wins where it costs no waiting.
+/// Index of the cheapest of a few random candidates.
+///
+/// A group that may have the request's prefix cached is preferred if it costs at most `prefix_ms`
+/// more.
 fn least_wait(state: &mut RouterState, request: &Request, all: &[Candidate]) -> usize {
     let mut near: Vec<_> = (0..all.len()).filter(|i| all[*i].near).collect();
     let mut far: Vec<_> = (0..all.len()).filter(|i| !all[*i].near).collect();
@@ -189,6 +205,7 @@
     }
 }
 
+/// Removes up to `count` random elements from `from` and returns them.
 fn draw_sample(state: &mut RouterState, from: &mut Vec<usize>, count: usize) -> Vec<usize> {
     let mut drawn = Vec::new();
     while drawn.len() < count && !from.is_empty() {
@@ -198,6 +215,7 @@
     drawn
 }
 
+/// Hash of the model and the first bytes of the body; `None` for services and short bodies.
 fn prefix_hash(request: &Request) -> Option<u64> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let body = request.body.as_bytes();
@@ -210,6 +228,7 @@
     Some(hasher.finish())
 }
 
+/// Remembers the group chosen for a prefix; if the table is full, the smallest hash is dropped.
 fn remember_prefix(state: &mut RouterState, request: &Request, group: &GroupId) {
     let Some(prefix) = prefix_hash(request) else {
         return;
--- a/src/logic/router/router_knobs.rs
+++ b/src/logic/router/router_knobs.rs
@@ -1,58 +1,58 @@
 use super::RoutePolicy;
 use crate::types::Millis;
 
-/// Numbers that a router decides by. Times are in milliseconds.
+/// Parameters of a router. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RouterKnobs {
-    /// Longest age of the proof that the bundle in force is the newest.
+    /// Age at which the proof that the bundle in force is the newest no longer counts.
     pub proof_ms: Millis,
-    /// Time between two proofs.
+    /// Time between two reads of the head, which prove that the bundle in force is the newest.
     pub prove_ms: Millis,
-    /// Time between two questions to other routers, while the service gives no proof.
+    /// Time between two queries to other routers while the key-value service gives no proof.
     pub ask_ms: Millis,
     /// Time between two fetches of the instance list.
     pub list_ms: Millis,
-    /// Length of the planner's lease.
+    /// Length of the planner lease.
     pub planner_ms: Millis,
-    /// Time between two looks of the planner.
+    /// Time between two planning passes.
     pub plan_ms: Millis,
-    /// Longest time a missing member is waited for.
+    /// Longest time a member may be silent before it is replaced.
     pub patience_ms: Millis,
     /// Record writes a planner may make a minute.
     pub plan_rate: u32,
-    /// Time a batch of claims is collected for.
+    /// Time for which claims are collected for a batch write.
     pub claim_ms: Millis,
-    /// Most claims of one write.
+    /// Most claims in one batch write.
     pub claim_batch: u32,
-    /// Routers that write claims for all others, once there are more routers than that.
+    /// Routers that write the claims of all routers, if there are more routers than that.
     pub claim_writers: u32,
     /// How long a claim is kept.
     pub claim_keep_ms: Millis,
     /// Most attempts at one request.
     pub attempts: u32,
-    /// Wait before an attempt that may be taken a moment later.
+    /// Delay of a parked request.
     pub park_ms: Millis,
-    /// Time after a deadline in which an agent's own refusal may still arrive.
+    /// Time after a deadline in which the agent's refusal may still arrive.
     pub grace_ms: Millis,
-    /// Most attempts and questions for a request that may not be repeated.
+    /// Most attempts and queries for a request that may not be repeated.
     pub claim_tries: u32,
     /// Time for a claimed attempt to reach its agent before another router bars it.
     pub recall_ms: Millis,
-    /// Base of the hint when to come back; a random part of the same size is added.
+    /// Least hint when to try again; up to as much is added at random.
     pub hint_ms: Millis,
     /// Requests in flight at one router.
     pub request_limit: u32,
-    /// Groups of other halls that a router keeps a session with, for each model.
+    /// Groups of other data halls that a router keeps sessions with, for each model.
     pub far_groups: u32,
-    /// Extra cost of a group in another hall, in milliseconds of waiting.
+    /// Extra cost of a group in another data hall, as waiting time.
     pub far_ms: Millis,
     /// Time over which a group that has just opened is filled.
     pub ramp_ms: Millis,
-    /// Extra waiting that a cached prefix is worth, in milliseconds.
+    /// Extra cost, as waiting time, that is accepted for a group that may have the prefix cached.
     pub prefix_ms: Millis,
-    /// How a group is chosen; anything but the default serves as a baseline.
+    /// How a group is chosen; all but the default are baselines for comparison.
     pub policy: RoutePolicy,
-    /// Whether a group is given up for a more valuable one; off only as a baseline.
+    /// Whether a group may be given up for a more valuable one; off only for comparison.
     pub trade: bool,
 }
 
--- a/src/logic/router/router_state.rs
+++ b/src/logic/router/router_state.rs
@@ -13,61 +13,61 @@
 /// Whole state of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RouterState {
-    /// Safety rules; all on outside the model check.
+    /// Safety rules; all on except in the model check.
     pub rules: Rules,
-    /// Numbers it decides by.
+    /// Parameters.
     pub knobs: RouterKnobs,
     /// Own instance.
     pub me: InstanceId,
-    /// Where other processes reach it.
+    /// Address at which other processes reach it.
     pub addr: SocketAddr,
     /// Own data hall.
     pub hall: Arc<str>,
-    /// Random number of this process.
+    /// Random number that identifies this process.
     pub incarnation: u64,
-    /// State of the random numbers.
+    /// State of the random number generator.
     pub seed: u64,
-    /// Which bundle is in force, and how well that is proved.
+    /// Which bundle is in force, and when it was last proved to be the newest.
     pub head: HeadView,
     /// A roll whose result isn't known yet.
     pub roll: Option<PendingRoll>,
-    /// What the key-value service holds.
+    /// Copy of what the key-value service holds about the fleet.
     pub fleet: Fleet,
-    /// Calls that haven't been answered.
+    /// Calls to the key-value service that haven't been answered.
     pub calls: BTreeMap<CallId, Purpose>,
     /// Number of the next call.
     pub next_call: CallId,
-    /// Whether the last call was answered.
+    /// Whether the last call to the key-value service was answered.
     pub store_up: bool,
     /// The instance list.
     pub instances: BTreeMap<InstanceId, Instance>,
     /// Whether the list has been fetched since the start.
     pub list_known: bool,
-    /// When it is fetched next.
+    /// When the list is fetched next.
     pub list_at: Millis,
     /// Other routers.
     pub peers: BTreeMap<InstanceId, PeerView>,
     /// Agents that are dialled.
     pub agents: BTreeMap<InstanceId, AgentView>,
-    /// When the set of agents to dial is looked at next.
+    /// When the set of agents to dial is updated next.
     pub dial_at: Millis,
-    /// Load of groups as far as this router sees it.
+    /// Load of groups that this router causes.
     pub loads: BTreeMap<GroupId, GroupLoad>,
-    /// Groups that may hold a prefix, by its hash; a hint only.
+    /// Groups that may have a prefix cached, by its hash; only a hint.
     pub prefixes: BTreeMap<u64, GroupId>,
-    /// Turn of the round-robin baseline.
+    /// Counter of the round-robin policy.
     pub turn: u64,
     /// Requests in flight.
     pub requests: BTreeMap<RequestId, Request>,
-    /// Requests in flight by client account.
+    /// Number of requests in flight by client account.
     pub accounts: BTreeMap<Arc<str>, u32>,
-    /// Claims that wait to be written.
+    /// Claims queued or forwarded to be written, and their lease.
     pub claims: ClaimBatch,
-    /// Tokens for retries.
+    /// Retry budget.
     pub budget: RetryBudget,
-    /// The planner's duty.
+    /// State of the planner.
     pub planner: PlannerState,
-    /// Whether the process ends once its requests have ended.
+    /// Whether the process is shutting down: it exits once no request and no roll is in flight.
     pub stopping: bool,
 }
 
@@ -122,7 +122,8 @@
         self.head.bundle.as_ref().map_or(0, |b| b.number)
     }
 
-    /// Whether new work may be taken at `now`: the bundle in force is proved new.
+    /// Whether new work may be taken at `now`: the proof that the bundle in force is the newest is
+    /// recent enough.
     pub fn proven(&self, now: Millis) -> bool {
         head::is_proven(self, now)
     }
@@ -139,12 +140,12 @@
         }
     }
 
-    /// Spreads a hint when to come back, so that callers don't return together.
+    /// Adds a random part to a hint when to try again, so that callers don't return all at once.
     pub(super) fn spread(&mut self, base: Millis) -> Millis {
         base + self.random(base.max(1))
     }
 
-    /// Calls the key-value service and remembers why.
+    /// Calls the key-value service and keeps the purpose of the call.
     pub(super) fn call(&mut self, purpose: Purpose, op: StoreCall, out: &mut Vec<Effect>) {
         let call = self.next_call;
         self.next_call += 1;
@@ -152,7 +153,7 @@
         out.push(Effect::Store { call, op });
     }
 
-    /// Whether a call for a purpose is under way.
+    /// Whether a call whose purpose matches is in flight.
     pub(super) fn calling(&self, wanted: impl Fn(&Purpose) -> bool) -> bool {
         self.calls.values().any(wanted)
     }
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/sending.rs
@@ -1,4 +1,4 @@
-//! Attempts: where they go, how they end, when another follows.
+//! Attempts of a request: sending them, handling how they end, and retrying.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::message::{AttemptEnd, Message, Once, Refusal, RunId, RunOrder};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
 
-/// Chooses a group and sends the request there, or its claim to the service first.
+/// Chooses a group and sends the request there; one that may not be repeated is claimed first.
 pub(super) fn dispatch(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.get(&id).cloned() else {
         return;
@@ -25,6 +25,8 @@
 }
 
 /// Sends the next attempt to a group's leader.
+///
+/// The request is parked if there is no session with the leader or no record of the group.
 pub(super) fn send(
     state: &mut RouterState,
     now: Millis,
@@ -69,12 +71,12 @@
         offset: request.pieces,
         prefix: request.text.clone(),
     };
-    let note = Note::new(NoteCode::RequestRouted)
+    let event = Note::new(NoteCode::RequestRouted)
         .with("request", id)
         .with("attempt", request.attempt)
         .with("group", group)
         .with("agent", agent);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let load = state.loads.entry(group.clone()).or_default();
     load.own += 1;
     load.since_report += 1;
@@ -84,7 +86,7 @@
     });
 }
 
-/// Sets a request aside for a moment, then tries again.
+/// Delays the next dispatch of a request by `park_ms`, or gives it up if its deadline comes first.
 pub(super) fn park(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let at = now + state.knobs.park_ms;
     let hint = state.knobs.hint_ms;
@@ -92,13 +94,15 @@
         return;
     };
     if at >= request.deadline {
-        let problem = Problem::not_run(504, "the deadline has come").retry_in(hint);
+        let problem = Problem::not_run(504, "no time is left for another attempt").retry_in(hint);
         return finish::give_up(state, now, id, problem, out);
     }
     request.stage = Stage::Parked(at);
 }
 
-/// A piece has arrived. Only the next offset of the present attempt is passed on.
+/// Handles a piece of an answer: only the next offset of the present attempt is passed on.
+///
+/// A gap means that pieces were lost, so the attempt is treated as broken.
 pub(super) fn on_piece(
     state: &mut RouterState,
     now: Millis,
@@ -120,7 +124,7 @@
     deliver(request, now, 1, text, out);
 }
 
-/// Passes text on to the caller.
+/// Passes text on to the caller; measures the time to the first piece.
 pub(super) fn deliver(
     request: &mut Request,
     now: Millis,
@@ -144,7 +148,7 @@
     });
 }
 
-/// An attempt has ended at its agent.
+/// Handles the end of an attempt as its agent reports it.
 pub(super) fn on_attempt_end(
     state: &mut RouterState,
     now: Millis,
@@ -170,6 +174,7 @@
     }
 }
 
+/// Adds the time since the request's arrival to the mean of its group.
 fn record_run_time(state: &mut RouterState, now: Millis, id: RequestId) {
     let Some(request) = state.requests.get(&id) else {
         return;
@@ -180,7 +185,7 @@
     }
 }
 
-/// Takes the present attempt out of the books of its group.
+/// Takes the present attempt out of the load of its group, which is returned.
 fn remove_from_load(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
     let group = state.requests.get(&id)?.group().cloned()?;
     if let Some(load) = state.loads.get_mut(&group) {
@@ -189,7 +194,7 @@
     Some(group)
 }
 
-/// The agent has refused: this attempt didn't run.
+/// Handles a refusal, which proves that this attempt didn't run.
 fn on_refusal(
     state: &mut RouterState,
     now: Millis,
@@ -208,7 +213,8 @@
     request.stage = Stage::Parked(now);
     let tries_left = request.attempt < state.knobs.claim_tries;
     if request.once.is_some() && refusal == Refusal::Cancelled && tries_left {
-        // Another router has barred it: bind it anew, which reads the claim if it moved.
+        // Another router has barred this attempt: claim the request again. If the claim has
+        // changed, that write returns what stands now.
         return dispatch(state, now, id, out);
     }
     if request.once.is_some() && refusal == Refusal::Duplicate {
@@ -222,17 +228,19 @@
     if matches!(refusal, Refusal::Ahead(n) if n > number) {
         state.head.prove_at = now;
     }
-    let wait = refusal.retry_ms().unwrap_or(0).max(hint);
+    let retry_ms = refusal.retry_ms().unwrap_or(0).max(hint);
     let detail = format!("refused: {refusal}");
     if !refusal.elsewhere() {
-        let problem = Problem::not_run(503, detail).retry_in(wait);
+        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
-    let soon = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
-    retry_or_give_up(state, now, id, detail, wait, soon, out);
+    let delayed = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
+    retry_or_give_up(state, now, id, detail, retry_ms, delayed, out);
 }
 
-/// The attempt may have run and its end isn't known.
+/// Handles an attempt that may have run and whose end isn't known.
+///
+/// A request that may not be repeated ends with outcome `unknown`; another one is retried.
 pub(super) fn on_broken_attempt(
     state: &mut RouterState,
     now: Millis,
@@ -248,46 +256,49 @@
     request.avoid = group;
     request.stage = Stage::Parked(now);
     if request.once.is_some() {
-        let detail = "its endpoint broke off; it may have run and is not run again";
+        let detail = "the answer broke off; the request may have run and is not run again";
         return finish::end_with_problem(state, now, id, Problem::unknown(502, detail), out);
     }
     retry_or_give_up(
         state,
         now,
         id,
-        "the attempt broke off".into(),
+        "the answer broke off".into(),
         hint,
         false,
         out,
     );
 }
 
-/// Tries again where attempts, budget and deadline allow it; else gives up.
+/// Retries if the number of attempts and the retry budget allow it; otherwise gives the request up.
+///
+/// `retry_ms` is the hint for the caller if the request is given up; `delayed` parks the request
+/// before the next attempt.
 fn retry_or_give_up(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
     detail: String,
-    wait: Millis,
-    soon: bool,
+    retry_ms: Millis,
+    delayed: bool,
     out: &mut Vec<Effect>,
 ) {
     let limit = state.knobs.attempts;
     let attempt = state.requests.get(&id).map_or(0, |r| r.attempt);
     if attempt >= limit || !state.budget.spend() {
-        let problem = Problem::not_run(503, detail).retry_in(wait);
+        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
     let Some(request) = state.requests.get(&id) else {
         return;
     };
-    let note = Note::new(NoteCode::RequestRetried)
+    let event = Note::new(NoteCode::RequestRetried)
         .with("request", id)
         .with("attempt", attempt)
         .with("detail", detail);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     out.push(retry_metric(request));
-    if soon {
+    if delayed {
         park(state, now, id, out);
     } else {
         dispatch(state, now, id, out);
@@ -304,7 +315,9 @@
     }
 }
 
-/// The session with an agent is gone, and with it the end of what was sent there.
+/// Handles the loss of the session with an agent: the ends of attempts sent there won't arrive.
+///
+/// The agent is queried about requests that may not be repeated; other attempts count as broken.
 pub(super) fn on_agent_lost(
     state: &mut RouterState,
     now: Millis,
@@ -327,7 +340,7 @@
     }
 }
 
-/// Looks after requests as time passes.
+/// Ends requests past their deadline and grace period, and dispatches parked ones that are due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let grace = state.knobs.grace_ms;
     let mut parked = Vec::new();
@@ -354,7 +367,7 @@
     };
     let problem = match &request.stage {
         Stage::Parked(_) => {
-            let problem = Problem::not_run(504, "the deadline has come").retry_in(hint);
+            let problem = Problem::not_run(504, "the deadline has passed").retry_in(hint);
             return finish::give_up(state, now, id, problem, out);
         }
         Stage::Sent { agent, .. } => {
@@ -362,18 +375,24 @@
                 to: agent.clone(),
                 message: Message::Cancel(request.run()),
             });
-            Problem::unknown(504, "the deadline has come while it ran")
+            Problem::unknown(
+                504,
+                "the deadline has passed after the request was sent; it may have run",
+            )
         }
         Stage::Claiming { .. } | Stage::Releasing(_) => {
-            let detail = "its claim could not be settled; ask again with the same key";
+            let detail = "the claim on its key could not be settled; try again with the same key";
             Problem::unknown(504, detail).retry_in(hint)
         }
-        Stage::Recalling { .. } => Problem::unknown(504, "the agent in its claim can't be reached"),
+        Stage::Recalling { .. } => Problem::unknown(
+            504,
+            "the agent named in its claim didn't report the outcome in time",
+        ),
     };
     finish::end_with_problem(state, now, id, problem, out);
 }
 
-/// The caller has hung up.
+/// Handles a caller that has hung up: cancels its request.
 pub(super) fn on_caller_gone(state: &mut RouterState, id: RequestId, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.get(&id) else {
         return;
--- a/src/logic/router/status.rs
+++ b/src/logic/router/status.rs
@@ -3,13 +3,13 @@
 use super::{head, RouterState};
 use crate::types::{GroupRecord, Millis};
 
-/// Describes the fleet for operators.
+/// Builds the status of the fleet for operators.
 pub(super) fn build(state: &RouterState, now: Millis) -> FleetStatus {
-    let used = |id: &crate::types::InstanceId| state.fleet.groups().any(|g| g.has(id));
+    let in_group = |id: &crate::types::InstanceId| state.fleet.groups().any(|g| g.has(id));
     let spares = state
         .instances
         .values()
-        .filter(|i| i.hall == state.hall && !i.is_router() && i.is_live() && !used(&i.id))
+        .filter(|i| i.hall == state.hall && !i.is_router() && i.is_live() && !in_group(&i.id))
         .map(|i| i.id.to_string())
         .collect();
     FleetStatus {
@@ -38,7 +38,7 @@
     let condition = match (view, lead) {
         (None, _) => "not watched from this router".to_string(),
         (Some(v), _) if v.up.is_none() => "leader unreachable".to_string(),
-        (_, None) => "leader hasn't taken it up".to_string(),
+        (_, None) => "leader hasn't reported this epoch".to_string(),
         (_, Some(l)) if l.open => "open".to_string(),
         (_, Some(l)) if l.phase == crate::types::Phase::Draining => "draining".to_string(),
         (_, Some(l)) if !l.missing.is_empty() => format!("lacks {}", join(&l.missing)),
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -32,7 +32,7 @@
     on_tick(state, now, out);
 }
 
-/// What is done after every event: time may have passed since the last one.
+/// Does the periodic work; called after every event, since time may have passed.
 fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if !state.fleet.read {
         retry_fleet_read(state, now, out);
@@ -54,13 +54,14 @@
     }
 }
 
-/// Reads the fleet at the pace of the proofs until that has succeeded.
+/// Reads the fleet again when the next read of the head is due.
 fn retry_fleet_read(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if now >= state.head.prove_at {
         fleet::start_read(state, out);
     }
 }
 
+/// Handles a message from an agent or another router.
 fn on_message(
     state: &mut RouterState,
     now: Millis,
@@ -95,12 +96,13 @@
             claiming::on_claim_reply(state, now, answers, out);
         }
         _ => {
-            let note = Note::new(NoteCode::UnexpectedMessage).with("from", &from.id);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::UnexpectedMessage).with("from", &from.id);
+            out.push(Effect::Note(event));
         }
     }
 }
 
+/// Handles the result of a call to the key-value service.
 fn on_store_reply(
     state: &mut RouterState,
     now: Millis,
@@ -141,6 +143,7 @@
     }
 }
 
+/// Logs when the key-value service stops or starts to answer.
 fn set_store_up(state: &mut RouterState, up: bool, out: &mut Vec<Effect>) {
     if state.store_up == up {
         return;
@@ -154,6 +157,7 @@
     out.push(Effect::Note(Note::new(code)));
 }
 
+/// Handles a fetched instance list.
 fn on_list(state: &mut RouterState, now: Millis, list: ListReply, out: &mut Vec<Effect>) {
     let ListReply::Instances(instances) = list else {
         return;
--- a/src/logic/router/store_call.rs
+++ b/src/logic/router/store_call.rs
@@ -10,23 +10,23 @@
         /// Whether it is a prefix.
         prefix: bool,
     },
-    /// Write if every check holds; otherwise read.
+    /// Write and delete if every check holds; otherwise read. All of it is one transaction.
     Swap {
-        /// What must hold.
+        /// Conditions.
         checks: Vec<Check>,
-        /// What is written then.
+        /// Keys written if all conditions hold.
         puts: Vec<Put>,
-        /// Keys deleted with the write.
+        /// Keys deleted if all conditions hold.
         deletes: Vec<String>,
-        /// Keys read where a check fails.
+        /// Keys read if a condition fails.
         reads: Vec<String>,
     },
-    /// Ask for a lease.
+    /// Request a lease.
     Grant {
         /// Its length in seconds.
         ttl_s: u64,
     },
-    /// End a lease; its keys go with it.
+    /// End a lease, which deletes the keys attached to it.
     Revoke {
         /// Its number.
         lease: i64,
--- a/src/logic/router/store_entry.rs
+++ b/src/logic/router/store_entry.rs
@@ -1,4 +1,4 @@
-/// One key of the service.
+/// One key of the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoreEntry {
     /// The key.
--- a/src/logic/router/store_reply.rs
+++ b/src/logic/router/store_reply.rs
@@ -1,6 +1,6 @@
 use super::StoreEntry;
 
-/// Answer of the key-value service.
+/// Reply of the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum StoreReply {
     /// What was read.
@@ -10,16 +10,16 @@
         /// Keys and values.
         entries: Vec<StoreEntry>,
     },
-    /// Whether a swap was written.
+    /// Result of a [`StoreCall::Swap`](super::StoreCall).
     Swapped {
         /// True when every check held.
         done: bool,
         /// The service's revision at the time.
         revision: i64,
-        /// What was read where a check failed.
+        /// What was read if a check failed.
         entries: Vec<StoreEntry>,
     },
-    /// A lease was given or renewed; `ttl_s` is 0 for one that has ended.
+    /// A lease was granted or renewed; `ttl_s` is 0 for one that has ended.
     Lease {
         /// Its number.
         lease: i64,
