--- a/tests/fleet/bundles.rs
+++ b/tests/fleet/bundles.rs
@@ -1,4 +1,4 @@
-//! A bundle, once accepted, is in force everywhere within seconds and never reverts.
+//! A rolled bundle is in force at all routers within seconds and never reverts.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 
 use crate::{answered, serving};
 
-/// The bound of the tests' settings: proof_ms and a lease, with room for a slow machine.
+/// Longest time until a bundle is in force everywhere: `proof_ms` and a lease in the settings of
+/// the tests, with room for a slow machine.
 const BOUND: Duration = Duration::from_secs(10);
 
 fn two_routers() -> FleetPlan {
@@ -23,13 +24,13 @@
     let own = fleet.operate("anna", "e1", &["bundle", "approve", &number]);
     assert_eq!(own.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&own.stderr).contains("another operator"));
-    let early = fleet.operate("anna", "e1", &["bundle", "roll", &number]);
-    assert_eq!(early.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&early.stderr).contains("isn't approved"));
+    let unapproved = fleet.operate("anna", "e1", &["bundle", "roll", &number]);
+    assert_eq!(unapproved.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&unapproved.stderr).contains("isn't approved"));
 }
 
 #[test]
-fn of_operators_who_race_each_gets_a_true_answer_and_the_number_only_grows() {
+fn racing_rolls_get_true_answers_and_the_number_only_grows() {
     let fleet = serving(&two_routers());
     let numbers: Vec<_> = (0..3)
         .map(|_| fleet.submit("e1", &test_bundle(1)).to_string())
@@ -74,7 +75,7 @@
     let highest = (0..3)
         .rev()
         .find(|i| won[*i] == Some(0))
-        .expect("one has won");
+        .expect("one roll succeeded");
     let head: serde_json::Value =
         serde_json::from_str(&fleet.platform.get("runrail/fleet/head").expect("a head"))
             .expect("a head");
@@ -150,10 +151,10 @@
     fleet.agents[&member].resume();
     assert!(until(LONG, || fleet.status("e2")["bundle"] == number));
     fleet.wait_open(1);
-    let heard = format!("bundle in force bundle=\"{number}\"");
+    let adopted = format!("bundle in force bundle=\"{number}\"");
     assert!(
-        until(LONG, || !fleet.logged(&member, &heard).is_empty()),
-        "{member} has not heard"
+        until(LONG, || !fleet.logged(&member, &adopted).is_empty()),
+        "{member} has not adopted the bundle"
     );
     answered(&fleet, "e2", &Chat::default());
 }
--- a/tests/fleet/input.rs
+++ b/tests/fleet/input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error that names the place; no process ends because of it.
+//! Invalid input is refused with an error that names the faulty part, and no process ends.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn strangers_and_hostile_frames_are_turned_away() {
+fn unauthenticated_peers_and_malformed_frames_are_refused() {
     let fleet = serving(&FleetPlan::default());
     let leader = fleet.members("e1")[0].clone();
     for address in [fleet.agents[&leader].peers, fleet.routers["e1"].peers] {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! The whole system as separate processes around stand-ins, under failure.
+//! End-to-end tests under failures: routers and agents as separate processes, with stand-ins for the
+//! platform and the endpoints.
 
 mod bundles;
 mod groups;
@@ -15,12 +16,12 @@
 /// The program under test.
 const BINARY: &str = env!("CARGO_BIN_EXE_runrail");
 
-/// A fleet that serves the test bundle.
+/// Starts a fleet that serves the test bundle.
 fn serving(plan: &FleetPlan) -> Fleet {
     Fleet::serving(BINARY, plan)
 }
 
-/// Asks until a request is answered.
+/// Sends a request again and again until it is answered.
 fn answered(fleet: &Fleet, router: &str, call: &Chat) -> Answer {
     let mut answer = Answer::default();
     let done = testkit::until(testkit::LONG, || {
@@ -34,8 +35,7 @@
     answer
 }
 
-/// What always holds of the engines' record: no run began in a group that
-/// lacked a member, and no prompt of `once` ran twice.
+/// Asserts that no prompt of `once` ran more than once.
 fn judge(fleet: &Fleet, once: &[&str]) {
     let runs = fleet.fabric.runs();
     for prompt in once {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Text of a whole answer, as the stand-in engine forms it.
+/// Text of a complete answer of the stand-in engine.
 fn whole(prompt: &str, pieces: u64) -> String {
     let words: Vec<_> = prompt.split_whitespace().collect();
     (0..pieces)
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once; answers come whole.
+//! A request that may not be repeated runs at most once, and its answer arrives complete.
 
 use std::time::Duration;
 
@@ -6,6 +6,7 @@
 
 use crate::{answered, judge, serving, whole};
 
+/// A request of class `letter`, which may not be repeated, with an idempotency key.
 fn letter(key: &str) -> Chat {
     Chat {
         class: "letter".into(),
@@ -16,6 +17,7 @@
     }
 }
 
+/// Two routers and engines that take 40 ms for each piece, so that failures meet running requests.
 fn slow_engines() -> FleetPlan {
     FleetPlan {
         routers: 2,
@@ -128,7 +130,7 @@
     if answer.is_answered() {
         assert_eq!(answer.text, text);
     } else {
-        // Given up: what came is a prefix, and the caller is told.
+        // The request was given up: the caller got a prefix of the answer and outcome `unknown`.
         assert!(text.starts_with(&answer.text), "{answer:?}");
         assert_eq!(answer.outcome.as_deref(), Some("unknown"), "{answer:?}");
     }
@@ -218,7 +220,7 @@
         let answer = answered(&fleet, router, &call);
         assert_eq!(answer.text, whole(&call.prompt, 10));
     }
-    // A writer that dies is passed over: the claim is written where it was wanted.
+    // If a writer has died, the router that needs the claim writes it.
     fleet.routers.get_mut("e1").expect("a router").kill();
     fleet.routers.get_mut("e2").expect("a router").kill();
     for i in 0..6 {
--- a/tests/fleet/outage.rs
+++ b/tests/fleet/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the platform's service and a late instance list.
+//! Outages of the platform's key-value service, and an instance list that lacks a live instance.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     });
     fleet.platform.set_fault(PlatformFault::Down);
     assert!(until(LONG, || fleet.status("e1")["store_up"] == false));
-    // Longer than proof_ms and several leases of the tests' settings.
+    // Longer than `proof_ms` and several leases in the settings of the tests.
     let start = std::time::Instant::now();
     while start.elapsed() < Duration::from_secs(4) {
         for router in ["e1", "e2"] {
@@ -63,12 +63,12 @@
     });
     let leader = fleet.members("e1")[0].clone();
     fleet.platform.set_state(&leader, None);
-    // The planner has seen the list, and the group that still works is left alone.
-    let seen = || {
+    // Once the planner has the new list, the group that still works must stay as it is.
+    let has_list = || {
         let spares = fleet.status("e1")["spares"].clone();
         spares.as_array().is_some_and(|s| s.len() == 1)
     };
-    assert!(until(LONG, seen));
+    assert!(until(LONG, has_list));
     for _ in 0..20 {
         answered(&fleet, "e1", &Chat::default());
     }
--- a/tests/fleet/serve.rs
+++ b/tests/fleet/serve.rs
@@ -1,4 +1,4 @@
-//! A request is served end to end.
+//! Requests are served end to end; `explain`, metrics and logs show their course without secrets.
 
 use testkit::{post, Call, Chat, FleetPlan, DESK_KEY, LONG};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_plain_service_is_called_on_the_same_road() {
+fn a_plain_service_call_is_served_end_to_end() {
     let fleet = serving(&FleetPlan {
         service: true,
         ..FleetPlan::default()
@@ -47,8 +47,8 @@
     });
     let answer = fleet.chat("e1", &Chat::default());
     let request = answer.request.expect("an id");
-    let told = fleet.operate("anna", "e1", &["explain", &request]);
-    let text = String::from_utf8_lossy(&told.stdout).to_string();
+    let output = fleet.operate("anna", "e1", &["explain", &request]);
+    let text = String::from_utf8_lossy(&output.stdout).to_string();
     assert!(text.contains("E500") && text.contains("E502"), "{text}");
     let leader = fleet.members("e1")[0].clone();
     let lost = fleet.members("e1")[2].clone();
@@ -56,8 +56,8 @@
     fleet.agents.get_mut(&lost).expect("an agent").kill();
     let mut text = String::new();
     let explained = testkit::until(LONG, || {
-        let told = fleet.operate("anna", "e1", &["explain", &lost]);
-        text = String::from_utf8_lossy(&told.stdout).to_string();
+        let output = fleet.operate("anna", "e1", &["explain", &lost]);
+        text = String::from_utf8_lossy(&output.stdout).to_string();
         text.contains("E411") && text.contains("from=\"spare\"")
     });
     assert!(explained, "{text}");
