--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -54,9 +54,9 @@
 
 /// Agents that this router needs sessions with, and where they listen.
 ///
-/// These are the leaders of all groups of the own data hall and of up to `far_groups` groups of
-/// other halls for each model, the agents of requests that were sent or are queried about, and the
-/// agents that the planner needs.
+/// These are the leaders of all groups of the router's data hall and of up to `far_groups` groups
+/// of other halls for each model, the agents of requests that were sent or are queried about, and
+/// the agents that the planner needs.
 fn wanted_agents(state: &RouterState) -> BTreeMap<InstanceId, SocketAddr> {
     let mut wanted = BTreeMap::new();
     let mut far: BTreeMap<Arc<str>, Vec<(u64, &GroupRecord)>> = BTreeMap::new();
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -58,7 +58,7 @@
     pub leased_at: Millis,
 }
 
-/// Queues an own claim, or forwards it to the router that writes it.
+/// Queues a claim of this router, or forwards it to the router that writes it.
 pub(super) fn add(state: &mut RouterState, now: Millis, write: ClaimWrite, out: &mut Vec<Effect>) {
     match claim_writers::writer(state, &write.key) {
         Some(writer) => {
@@ -88,6 +88,7 @@
     }
 }
 
+/// Queues a claim; `guest` is the router that forwarded it, if any.
 fn enqueue(state: &mut RouterState, now: Millis, write: ClaimWrite, guest: Option<InstanceId>) {
     if state.claims.waiting.is_empty() {
         state.claims.due = now + state.knobs.claim_ms;
@@ -151,6 +152,7 @@
     taken
 }
 
+/// The call that writes a batch: all of its claims or none; then it reads what stands.
 fn batch_swap(claims: &[WaitingClaim], lease: i64) -> StoreCall {
     let writes = claims.iter().map(|c| &c.write);
     let checks = writes.clone().map(|w| Check {
--- a/src/logic/router/claiming.rs
+++ b/src/logic/router/claiming.rs
@@ -89,7 +89,8 @@
     claim_batch::add(state, now, write, out);
 }
 
-/// Handles the result of a batch write: settles own claims and replies about forwarded ones.
+/// Handles the result of a batch write: settles the claims of this router and
+/// replies about forwarded ones.
 pub(super) fn on_batch_written(
     state: &mut RouterState,
     now: Millis,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Handles another router's reply about own claims that were forwarded to it.
+/// Handles another router's reply about claims that were forwarded to it.
 pub(super) fn on_claim_reply(
     state: &mut RouterState,
     now: Millis,
@@ -145,12 +146,12 @@
                 record: entry.and_then(|e| serde_json::from_str(&e.value).ok()),
             }
         }
-        // The write may have taken effect; in that case writing again finds the own record.
+        // The write may have taken effect; in that case the next write finds this request's record.
         _ => ClaimVerdict::Unknown,
     }
 }
 
-/// Handles the verdict on an own claim, unless its request has moved on.
+/// Handles the verdict on a claim of this router, unless its request waits for it no longer.
 fn on_verdict(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/fleet_status.rs
+++ b/src/logic/router/fleet_status.rs
@@ -20,6 +20,6 @@
     pub requests: usize,
     /// Groups.
     pub groups: Vec<GroupStatus>,
-    /// Live instances of the own hall outside any group.
+    /// Live instances of the router's hall outside any group.
     pub spares: Vec<String>,
 }
--- a/src/logic/router/metric.rs
+++ b/src/logic/router/metric.rs
@@ -3,7 +3,8 @@
 pub enum Metric {
     /// Time from arrival to the first piece, in milliseconds.
     FirstPiece,
-    /// Time from arrival to the end, in milliseconds; neither for `NotRun` nor for `Unknown`.
+    /// Time from arrival to the end, in milliseconds; not measured for requests that count as
+    /// `NotRun` or `Unknown`.
     Total,
     /// Requests that were not run.
     NotRun,
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -148,8 +148,8 @@
     number: u64,
     out: &mut Vec<Effect>,
 ) {
-    // A router that can put a bundle in force must have replied before a proof by all others
-    // counts.
+    // The sender can put bundles in force, so it belongs to those that must have replied before
+    // their replies are a proof, even if it isn't listed.
     state
         .peers
         .entry(from.id.clone())
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/recalling.rs
@@ -33,7 +33,7 @@
 }
 
 /// Starts to query an agent about an attempt that this router has sent to it.
-pub(super) fn begin_own(
+pub(super) fn begin_for_attempt(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -8,7 +8,7 @@
 const OCCUPANCY_DIVISOR: u64 = 4;
 /// Run time assumed for a group before its first run has ended.
 const DEFAULT_RUN_MS: Millis = 200;
-/// Candidates in the own data hall that are compared.
+/// Candidates in the router's data hall that are compared.
 const MAX_NEAR_SAMPLES: usize = 3;
 /// Candidates in other data halls that are compared with them.
 const MAX_FAR_SAMPLES: usize = 1;
@@ -171,8 +171,8 @@
     (class.wait_ms, cost)
 }
 
-/// Extra cost of a group that has just opened, so that it is filled gradually: for each own attempt
-/// in flight there, a tenth of the remaining ramp time, in milliseconds.
+/// Extra cost of a group that has just opened, so that it is filled gradually: for each attempt of
+/// this router in flight there, a tenth of the remaining ramp time, in milliseconds.
 fn ramp_cost(state: &RouterState, now: Millis, opened_at: Millis, group: &GroupId) -> Millis {
     let age = now.saturating_sub(opened_at);
     if age >= state.knobs.ramp_ms {
--- a/src/logic/router/router_state.rs
+++ b/src/logic/router/router_state.rs
@@ -17,11 +17,11 @@
     pub rules: Rules,
     /// Parameters.
     pub knobs: RouterKnobs,
-    /// Own instance.
+    /// Id of the router's instance.
     pub me: InstanceId,
     /// Address at which other processes reach it.
     pub addr: SocketAddr,
-    /// Own data hall.
+    /// The router's data hall.
     pub hall: Arc<str>,
     /// Random number that identifies this process.
     pub incarnation: u64,
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/sending.rs
@@ -218,7 +218,7 @@
         return dispatch(state, now, id, out);
     }
     if request.once.is_some() && refusal == Refusal::Duplicate {
-        return recalling::begin_own(state, now, id, agent, out);
+        return recalling::begin_for_attempt(state, now, id, agent, out);
     }
     if let Refusal::Behind(bundle) = refusal {
         if let Some(view) = state.agents.get_mut(agent) {
@@ -333,7 +333,7 @@
     for (id, once) in lost {
         if once {
             remove_from_load(state, id);
-            recalling::begin_own(state, now, id, agent, out);
+            recalling::begin_for_attempt(state, now, id, agent, out);
         } else {
             on_broken_attempt(state, now, id, out);
         }
@@ -360,6 +360,7 @@
     }
 }
 
+/// Ends a request whose deadline and grace period have passed.
 fn on_deadline(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get(&id) else {
