--- a/src/logic/router/accept.rs
+++ b/src/logic/router/accept.rs
@@ -1,4 +1,4 @@
-//! Whether a caller's request is taken, and under which terms.
+//! Admission of callers' requests.
 
 use std::sync::Arc;
 
@@ -8,15 +8,15 @@
 use crate::message::ClaimKey;
 use crate::types::{AccountSpec, BundleBody, ClassSpec, Millis};
 
-/// Takes a request or refuses it at once.
-pub(super) fn arrived(
+/// Handles a new request: admits and dispatches it, or answers with a problem at once.
+pub(super) fn on_request(
     state: &mut RouterState,
     now: Millis,
     call: CallerRequest,
     out: &mut Vec<Effect>,
 ) {
     let id = call.id;
-    match examine(state, now, call) {
+    match admit(state, now, call) {
         Ok(request) => {
             *state.accounts.entry(request.account.clone()).or_insert(0) += 1;
             state.requests.insert(id, request);
@@ -27,7 +27,7 @@
             if problem.retry_ms.is_some() {
                 problem.retry_ms = Some(state.spread(state.knobs.hint_ms));
             }
-            finish::note_problem(id, &problem, out);
+            finish::log_problem(id, &problem, out);
             out.push(Effect::Answer {
                 request: id,
                 part: AnswerPart::Problem(problem),
@@ -36,15 +36,18 @@
     }
 }
 
-fn examine(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
+/// Checks a request against the bundle in force and the limits, and builds its state.
+fn admit(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
     let hint = state.knobs.hint_ms;
     if state.stopping {
-        return Err(Problem::not_run(503, "this router is stopping; ask again").retry_in(hint));
+        return Err(
+            Problem::not_run(503, "this router is shutting down; try again").retry_in(hint),
+        );
     }
     let Some(bundle) = state.bundle() else {
         return Err(Problem::not_run(503, "no bundle is in force yet").retry_in(hint));
     };
-    if !head::proven(state, now) {
+    if !head::is_proven(state, now) {
         let detail = "this router can't prove that its bundle is the newest";
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
@@ -53,7 +56,7 @@
     let class = find_class(body, account, &call)?;
     check_model(body, &call)?;
     check_limits(state, account)?;
-    let once = once_claim(account, class, &call)?;
+    let once = new_claim(account, class, &call)?;
     let left = call.deadline_ms.unwrap_or(class.deadline_ms);
     if left == 0 {
         return Err(Problem::not_run(400, "the deadline has passed already"));
@@ -95,11 +98,15 @@
 ) -> Result<&'a ClassSpec, Problem> {
     let name: Option<&Arc<str>> = call.class.as_ref().or(account.classes.first());
     let Some(name) = name else {
-        return Err(Problem::not_run(403, "the client account may use no class"));
+        return Err(Problem::not_run(
+            403,
+            "the client account isn't allowed any class",
+        ));
     };
     if !account.classes.contains(name) {
         let allowed = account.classes.join(", ");
-        let detail = format!("class {name:?} isn't open to this account; it may use: {allowed}");
+        let detail =
+            format!("class {name:?} isn't allowed for this client account; it may use: {allowed}");
         return Err(Problem::not_run(403, detail));
     }
     body.class(name)
@@ -129,17 +136,21 @@
     let hint = state.knobs.hint_ms;
     let used = state.accounts.get(&account.name).copied().unwrap_or(0);
     if used >= account.limit {
-        let detail = format!("{used} requests of this account are in flight, its limit");
+        let detail =
+            format!("the client account has {used} requests in flight, which is its limit");
         return Err(Problem::not_run(429, detail).retry_in(hint));
     }
     if state.requests.len() >= state.knobs.request_limit as usize {
-        let detail = "this router has its limit of requests in flight";
+        let detail = "this router has reached its limit of requests in flight";
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
     Ok(())
 }
 
-fn once_claim(
+/// State of the claim of a request with an idempotency key, before anything is written.
+///
+/// Without a key, a request of a class that may not be repeated is refused.
+fn new_claim(
     account: &AccountSpec,
     class: &ClassSpec,
     call: &CallerRequest,
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -1,12 +1,12 @@
-//! What operators ask: submit, approve, roll, look.
+//! Operators' calls: submitting, approving and rolling bundles, and reading the status.
 
 use super::{fleet, roll, status, Check, Keys, OperatorCall, OperatorReply, Problem, Purpose, Put};
 use super::{RouterState, StoreCall, StoreReply, StoreResult};
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{Approval, Bundle, BundleBody, BundleFault, Millis};
 
-/// Serves an operator's call.
-pub(super) fn asked(
+/// Handles an operator's call.
+pub(super) fn on_call(
     state: &mut RouterState,
     now: Millis,
     job: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-fn problem(job: u64, problem: Problem, out: &mut Vec<Effect>) {
+fn reply_problem(job: u64, problem: Problem, out: &mut Vec<Effect>) {
     out.push(Effect::Reply {
         job,
         reply: OperatorReply::Problem(problem),
@@ -56,11 +56,11 @@
     let faults = BundleFault::find_all(&body);
     if !faults.is_empty() {
         let lines: Vec<_> = faults.iter().map(|f| f.to_string()).collect();
-        return problem(job, Problem::not_run(422, lines.join("\n")), out);
+        return reply_problem(job, Problem::not_run(422, lines.join("\n")), out);
     }
     if !state.fleet.read {
         let detail = "the key-value service hasn't been read yet";
-        return problem(job, Problem::not_run(503, detail), out);
+        return reply_problem(job, Problem::not_run(503, detail), out);
     }
     let newest = state.fleet.bundles.keys().next_back().copied().unwrap_or(0);
     let number = newest.max(state.head.head.number) + 1;
@@ -69,11 +69,12 @@
         author: by,
         body,
     };
-    let op = create(Keys::bundle(number), &bundle);
+    let op = create_key(Keys::bundle(number), &bundle);
     state.call(Purpose::Submit { job, number }, op, out);
 }
 
-fn create<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
+/// A write that succeeds only if the key doesn't exist yet.
+fn create_key<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
     StoreCall::Swap {
         checks: vec![Check {
             key: key.clone(),
@@ -89,8 +90,8 @@
     }
 }
 
-/// A bundle's write has ended.
-pub(super) fn submitted(
+/// Handles the result of writing a submitted bundle.
+pub(super) fn on_submit_result(
     state: &mut RouterState,
     job: u64,
     number: u64,
@@ -99,30 +100,32 @@
 ) {
     match result {
         Ok(StoreReply::Swapped { done: true, .. }) => {
-            let note = Note::new(NoteCode::BundleSubmitted).with("bundle", number);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::BundleSubmitted).with("bundle", number);
+            out.push(Effect::Note(event));
             out.push(Effect::Reply {
                 job,
                 reply: OperatorReply::Submitted(number),
             });
         }
         Ok(_) => {
-            fleet::read(state, out);
-            let detail = format!("bundle {number} was submitted by another at the same moment");
-            problem(job, Problem::not_run(409, detail), out);
+            fleet::start_read(state, out);
+            let detail = format!(
+                "bundle {number} was submitted by another call at the same time; submit again"
+            );
+            reply_problem(job, Problem::not_run(409, detail), out);
         }
         Err(_) => {
             let detail = format!(
-                "no answer came; `runrail bundle status` shows whether bundle {number} was stored"
+                "result unknown; `runrail bundle status` shows whether bundle {number} was stored"
             );
-            problem(job, Problem::unknown(504, detail), out);
+            reply_problem(job, Problem::unknown(504, detail), out);
         }
     }
 }
 
 fn approve(state: &mut RouterState, job: u64, by: String, number: u64, out: &mut Vec<Effect>) {
     let Some((bundle, _)) = state.fleet.bundles.get(&number) else {
-        return problem(
+        return reply_problem(
             job,
             Problem::not_run(404, format!("bundle {number} doesn't exist")),
             out,
@@ -130,18 +133,18 @@
     };
     if bundle.author == by {
         let detail = format!("{by} wrote bundle {number}; another operator has to approve it");
-        return problem(job, Problem::not_run(403, detail), out);
+        return reply_problem(job, Problem::not_run(403, detail), out);
     }
     let approval = Approval {
         number,
         by: by.clone(),
     };
-    let op = create(Keys::approval(number), &approval);
+    let op = create_key(Keys::approval(number), &approval);
     state.call(Purpose::Approve { job, number, by }, op, out);
 }
 
-/// An approval's write has ended.
-pub(super) fn approved(
+/// Handles the result of writing an approval. One that exists already counts as success.
+pub(super) fn on_approve_result(
     state: &mut RouterState,
     job: u64,
     number: u64,
@@ -149,7 +152,7 @@
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
-    let stands = match result {
+    let stored = match result {
         Ok(StoreReply::Swapped { done, revision, .. }) => {
             let approval = Approval { number, by };
             if done {
@@ -159,12 +162,12 @@
         }
         _ => false,
     };
-    if !stands {
-        let detail = "no answer came; approving again does no harm";
-        return problem(job, Problem::unknown(504, detail), out);
+    if !stored {
+        let detail = "result unknown; approving again is safe";
+        return reply_problem(job, Problem::unknown(504, detail), out);
     }
-    let note = Note::new(NoteCode::BundleApproved).with("bundle", number);
-    out.push(Effect::Note(note));
+    let event = Note::new(NoteCode::BundleApproved).with("bundle", number);
+    out.push(Effect::Note(event));
     out.push(Effect::Reply {
         job,
         reply: OperatorReply::Approved(number),
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/recalling.rs
@@ -1,4 +1,4 @@
-//! Asking the agent in a claim what became of the request.
+//! Queries to the agent named in a claim about what became of the request.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use crate::message::{Message, Once, Recall, RunId};
 use crate::types::{InstanceId, Millis, RequestId};
 
-/// Time between two questions, in milliseconds.
-const ASK_EVERY: Millis = 500;
+/// Time between two queries about the same request.
+const QUERY_INTERVAL_MS: Millis = 500;
 
-/// Begins to ask about a claim that another request wrote.
+/// Starts to query the agent named in a claim, which another request may have written.
 pub(super) fn begin(
     state: &mut RouterState,
     now: Millis,
@@ -28,12 +28,12 @@
         ask_at: now,
         bar: false,
     };
-    agents::look_soon(state, now);
-    ask(state, now, id, out);
+    agents::schedule_dial(state, now);
+    send_query(state, now, id, out);
 }
 
-/// Begins to ask about an own attempt whose session was lost.
-pub(super) fn begin_own(
+/// Starts to query an agent about an attempt that this router has sent to it.
+pub(super) fn begin_for_attempt(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
@@ -46,8 +46,8 @@
     begin(state, now, id, agent, addr, out);
 }
 
-/// Asks again as time passes.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+/// Sends the queries that are due.
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let due: Vec<_> = state
         .requests
         .values()
@@ -55,12 +55,17 @@
         .map(|r| r.id)
         .collect();
     for id in due {
-        ask(state, now, id, out);
+        send_query(state, now, id, out);
     }
 }
 
-/// A session with an agent has opened: ask it at once.
-pub(super) fn agent_up(state: &mut RouterState, now: Millis, peer: &Peer, out: &mut Vec<Effect>) {
+/// Queries an agent at once when a session with it has opened.
+pub(super) fn on_agent_up(
+    state: &mut RouterState,
+    now: Millis,
+    peer: &Peer,
+    out: &mut Vec<Effect>,
+) {
     let due: Vec<_> = state
         .requests
         .values()
@@ -68,12 +73,16 @@
         .map(|r| r.id)
         .collect();
     for id in due {
-        ask(state, now, id, out);
+        send_query(state, now, id, out);
     }
 }
 
-fn ask(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
-    let keep_ms = claim_batch::memory_ms(state);
+/// Queries the agent, if there is a session with it.
+///
+/// The request ends with outcome `unknown` if the agent has restarted since the claim was written
+/// or if too many attempts and queries were made.
+fn send_query(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
+    let keep_ms = claim_batch::retention_ms(state);
     let limit = state.knobs.claim_tries;
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
@@ -85,7 +94,7 @@
     else {
         return;
     };
-    *ask_at = now + ASK_EVERY;
+    *ask_at = now + QUERY_INTERVAL_MS;
     let bar = *bar;
     let agent = agent.clone();
     let Some(once) = request.once else {
@@ -95,11 +104,11 @@
         return;
     };
     if state.rules.incarnation_check && up != once.incarnation {
-        let detail = "the agent in its claim has restarted; it may have run and is not run again";
-        return finish::end_with(state, now, id, Problem::unknown(409, detail), out);
+        let detail = "its agent has restarted; the request may have run and is not run again";
+        return finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
     }
     if request.attempt >= limit {
-        let detail = "other routers try the same key; ask again with it";
+        let detail = "other routers are trying the same Idempotency-Key; try again with it";
         let problem = Problem::unknown(409, detail).retry_in(hint);
         return finish::give_up(state, now, id, problem, out);
     }
@@ -119,8 +128,8 @@
     });
 }
 
-/// An agent has answered.
-pub(super) fn recalled(
+/// Handles an agent's reply to a query.
+pub(super) fn on_query_reply(
     state: &mut RouterState,
     now: Millis,
     run: RunId,
@@ -140,38 +149,39 @@
     match recall {
         Recall::NotSeen => {
             if let Stage::Recalling { ask_at, bar, .. } = &mut request.stage {
-                // Whoever wrote the claim may be about to send it.
+                // The router that wrote the claim may still be about to send the attempt: it gets
+                // `recall_ms` before the next query bars it.
                 *ask_at = now + state.knobs.recall_ms;
                 *bar = true;
             }
         }
         Recall::NotRun => {
-            let note = Note::new(NoteCode::ClaimRebound).with("request", id);
-            out.push(Effect::Note(note));
+            let event = Note::new(NoteCode::ClaimRebound).with("request", id);
+            out.push(Effect::Note(event));
             request.stage = Stage::Parked(now);
             sending::dispatch(state, now, id, out);
         }
         Recall::Running { pieces, text } => {
             request.stage = Stage::Sent { agent, group: None };
-            catch_up(state, now, id, pieces, &text, out);
+            deliver_missing(state, now, id, pieces, &text, out);
         }
         Recall::Done {
             status,
             pieces,
             text,
         } => {
-            catch_up(state, now, id, pieces, &text, out);
+            deliver_missing(state, now, id, pieces, &text, out);
             finish::complete(state, now, id, status, out);
         }
         Recall::Lost => {
-            let detail = "it was handed over and its answer is lost; it is not run again";
-            finish::end_with(state, now, id, Problem::unknown(409, detail), out);
+            let detail = "the request may have run and its answer is lost; it is not run again";
+            finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
         }
     }
 }
 
-/// Passes on what the caller doesn't have yet.
-fn catch_up(
+/// Passes on the part of the answer that the caller doesn't have yet.
+fn deliver_missing(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/sending.rs
@@ -1,4 +1,4 @@
-//! Attempts: where they go, how they end, when another follows.
+//! Attempts of a request: sending them, handling how they end, and retrying.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::message::{AttemptEnd, Message, Once, Refusal, RunId, RunOrder};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
 
-/// Chooses a group and sends the request there, or its claim to the service first.
+/// Chooses a group and sends the request there; one that may not be repeated is claimed first.
 pub(super) fn dispatch(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.get(&id).cloned() else {
         return;
@@ -25,6 +25,8 @@
 }
 
 /// Sends the next attempt to a group's leader.
+///
+/// The request is parked if there is no session with the leader or no record of the group.
 pub(super) fn send(
     state: &mut RouterState,
     now: Millis,
@@ -33,9 +35,9 @@
     group: &GroupId,
     out: &mut Vec<Effect>,
 ) {
-    agents::push_brief_to(state, agent, out);
+    agents::send_brief(state, agent, out);
     let bundle = state.number();
-    let keep_ms = claim_batch::memory_ms(state);
+    let keep_ms = claim_batch::retention_ms(state);
     let incarnation = state.agents.get(agent).and_then(|a| a.up);
     let epoch = state.fleet.group(group).map(|g| g.epoch);
     let (Some(incarnation), Some(epoch)) = (incarnation, epoch) else {
@@ -69,12 +71,12 @@
         offset: request.pieces,
         prefix: request.text.clone(),
     };
-    let note = Note::new(NoteCode::RequestRouted)
+    let event = Note::new(NoteCode::RequestRouted)
         .with("request", id)
         .with("attempt", request.attempt)
         .with("group", group)
         .with("agent", agent);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     let load = state.loads.entry(group.clone()).or_default();
     load.own += 1;
     load.since_report += 1;
@@ -84,7 +86,7 @@
     });
 }
 
-/// Sets a request aside for a moment, then tries again.
+/// Delays the next dispatch of a request by `park_ms`, or gives it up if its deadline comes first.
 pub(super) fn park(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let at = now + state.knobs.park_ms;
     let hint = state.knobs.hint_ms;
@@ -92,14 +94,16 @@
         return;
     };
     if at >= request.deadline {
-        let problem = Problem::not_run(504, "the deadline has come").retry_in(hint);
+        let problem = Problem::not_run(504, "no time is left for another attempt").retry_in(hint);
         return finish::give_up(state, now, id, problem, out);
     }
     request.stage = Stage::Parked(at);
 }
 
-/// A piece has arrived. Only the next offset of the present attempt is passed on.
-pub(super) fn piece(
+/// Handles a piece of an answer: only the next offset of the present attempt is passed on.
+///
+/// A gap means that pieces were lost, so the attempt is treated as broken.
+pub(super) fn on_piece(
     state: &mut RouterState,
     now: Millis,
     run: RunId,
@@ -115,12 +119,12 @@
         return;
     }
     if offset > request.pieces {
-        return attempt_broken(state, now, run.request, out);
+        return on_broken_attempt(state, now, run.request, out);
     }
     deliver(request, now, 1, text, out);
 }
 
-/// Passes text on to the caller.
+/// Passes text on to the caller; measures the time to the first piece.
 pub(super) fn deliver(
     request: &mut Request,
     now: Millis,
@@ -144,8 +148,8 @@
     });
 }
 
-/// An attempt has ended at its agent.
-pub(super) fn ended(
+/// Handles the end of an attempt as its agent reports it.
+pub(super) fn on_attempt_end(
     state: &mut RouterState,
     now: Millis,
     from: &InstanceId,
@@ -162,15 +166,16 @@
     let id = run.request;
     match end {
         AttemptEnd::Complete { status, pieces } if pieces == request.pieces => {
-            count_run(state, now, id);
+            record_run_time(state, now, id);
             finish::complete(state, now, id, status, out);
         }
-        AttemptEnd::Complete { .. } | AttemptEnd::Broken => attempt_broken(state, now, id, out),
-        AttemptEnd::Refused(refusal) => refused(state, now, id, from, refusal, out),
+        AttemptEnd::Complete { .. } | AttemptEnd::Broken => on_broken_attempt(state, now, id, out),
+        AttemptEnd::Refused(refusal) => on_refusal(state, now, id, from, refusal, out),
     }
 }
 
-fn count_run(state: &mut RouterState, now: Millis, id: RequestId) {
+/// Adds the time since the request's arrival to the mean of its group.
+fn record_run_time(state: &mut RouterState, now: Millis, id: RequestId) {
     let Some(request) = state.requests.get(&id) else {
         return;
     };
@@ -180,8 +185,8 @@
     }
 }
 
-/// Takes the present attempt out of the books of its group.
-fn detach(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
+/// Takes the present attempt out of the load of its group, which is returned.
+fn remove_from_load(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
     let group = state.requests.get(&id)?.group().cloned()?;
     if let Some(load) = state.loads.get_mut(&group) {
         load.own = load.own.saturating_sub(1);
@@ -189,8 +194,8 @@
     Some(group)
 }
 
-/// The agent has refused: this attempt didn't run.
-fn refused(
+/// Handles a refusal, which proves that this attempt didn't run.
+fn on_refusal(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
@@ -198,7 +203,7 @@
     refusal: Refusal,
     out: &mut Vec<Effect>,
 ) {
-    let group = detach(state, id);
+    let group = remove_from_load(state, id);
     let number = state.number();
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
@@ -208,11 +213,12 @@
     request.stage = Stage::Parked(now);
     let tries_left = request.attempt < state.knobs.claim_tries;
     if request.once.is_some() && refusal == Refusal::Cancelled && tries_left {
-        // Another router has barred it: bind it anew, which reads the claim if it moved.
+        // Another router has barred this attempt: claim the request again. If the claim has
+        // changed, that write returns what stands now.
         return dispatch(state, now, id, out);
     }
     if request.once.is_some() && refusal == Refusal::Duplicate {
-        return recalling::begin_own(state, now, id, agent, out);
+        return recalling::begin_for_attempt(state, now, id, agent, out);
     }
     if let Refusal::Behind(bundle) = refusal {
         if let Some(view) = state.agents.get_mut(agent) {
@@ -222,24 +228,26 @@
     if matches!(refusal, Refusal::Ahead(n) if n > number) {
         state.head.prove_at = now;
     }
-    let wait = refusal.retry_ms().unwrap_or(0).max(hint);
+    let retry_ms = refusal.retry_ms().unwrap_or(0).max(hint);
     let detail = format!("refused: {refusal}");
     if !refusal.elsewhere() {
-        let problem = Problem::not_run(503, detail).retry_in(wait);
+        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
-    let soon = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
-    again(state, now, id, detail, wait, soon, out);
+    let delayed = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
+    retry_or_give_up(state, now, id, detail, retry_ms, delayed, out);
 }
 
-/// The attempt may have run and its end isn't known.
-pub(super) fn attempt_broken(
+/// Handles an attempt that may have run and whose end isn't known.
+///
+/// A request that may not be repeated ends with outcome `unknown`; another one is retried.
+pub(super) fn on_broken_attempt(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
     out: &mut Vec<Effect>,
 ) {
-    let group = detach(state, id);
+    let group = remove_from_load(state, id);
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
@@ -248,53 +256,56 @@
     request.avoid = group;
     request.stage = Stage::Parked(now);
     if request.once.is_some() {
-        let detail = "its endpoint broke off; it may have run and is not run again";
-        return finish::end_with(state, now, id, Problem::unknown(502, detail), out);
+        let detail = "the answer broke off; the request may have run and is not run again";
+        return finish::end_with_problem(state, now, id, Problem::unknown(502, detail), out);
     }
-    again(
+    retry_or_give_up(
         state,
         now,
         id,
-        "the attempt broke off".into(),
+        "the answer broke off".into(),
         hint,
         false,
         out,
     );
 }
 
-/// Tries again where attempts, budget and deadline allow it; else gives up.
-fn again(
+/// Retries if the number of attempts and the retry budget allow it; otherwise gives the request up.
+///
+/// `retry_ms` is the hint for the caller if the request is given up; `delayed` parks the request
+/// before the next attempt.
+fn retry_or_give_up(
     state: &mut RouterState,
     now: Millis,
     id: RequestId,
     detail: String,
-    wait: Millis,
-    soon: bool,
+    retry_ms: Millis,
+    delayed: bool,
     out: &mut Vec<Effect>,
 ) {
     let limit = state.knobs.attempts;
     let attempt = state.requests.get(&id).map_or(0, |r| r.attempt);
     if attempt >= limit || !state.budget.spend() {
-        let problem = Problem::not_run(503, detail).retry_in(wait);
+        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
     let Some(request) = state.requests.get(&id) else {
         return;
     };
-    let note = Note::new(NoteCode::RequestRetried)
+    let event = Note::new(NoteCode::RequestRetried)
         .with("request", id)
         .with("attempt", attempt)
         .with("detail", detail);
-    out.push(Effect::Note(note));
-    out.push(retry_measure(request));
-    if soon {
+    out.push(Effect::Note(event));
+    out.push(retry_metric(request));
+    if delayed {
         park(state, now, id, out);
     } else {
         dispatch(state, now, id, out);
     }
 }
 
-fn retry_measure(request: &Request) -> Effect {
+fn retry_metric(request: &Request) -> Effect {
     let account: Arc<str> = request.account.clone();
     Effect::Measure {
         metric: Metric::Retry,
@@ -304,8 +315,10 @@
     }
 }
 
-/// The session with an agent is gone, and with it the end of what was sent there.
-pub(super) fn agent_lost(
+/// Handles the loss of the session with an agent: the ends of attempts sent there won't arrive.
+///
+/// The agent is queried about requests that may not be repeated; other attempts count as broken.
+pub(super) fn on_agent_lost(
     state: &mut RouterState,
     now: Millis,
     agent: &InstanceId,
@@ -319,16 +332,16 @@
         .collect();
     for (id, once) in lost {
         if once {
-            detach(state, id);
-            recalling::begin_own(state, now, id, agent, out);
+            remove_from_load(state, id);
+            recalling::begin_for_attempt(state, now, id, agent, out);
         } else {
-            attempt_broken(state, now, id, out);
+            on_broken_attempt(state, now, id, out);
         }
     }
 }
 
-/// Looks after requests as time passes.
-pub(super) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+/// Ends requests past their deadline and grace period, and dispatches parked ones that are due.
+pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let grace = state.knobs.grace_ms;
     let mut parked = Vec::new();
     let mut late = Vec::new();
@@ -340,21 +353,22 @@
         }
     }
     for id in late {
-        deadline_passed(state, now, id, out);
+        on_deadline(state, now, id, out);
     }
     for id in parked {
         dispatch(state, now, id, out);
     }
 }
 
-fn deadline_passed(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
+/// Ends a request whose deadline and grace period have passed.
+fn on_deadline(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let hint = state.knobs.hint_ms;
     let Some(request) = state.requests.get(&id) else {
         return;
     };
     let problem = match &request.stage {
         Stage::Parked(_) => {
-            let problem = Problem::not_run(504, "the deadline has come").retry_in(hint);
+            let problem = Problem::not_run(504, "the deadline has passed").retry_in(hint);
             return finish::give_up(state, now, id, problem, out);
         }
         Stage::Sent { agent, .. } => {
@@ -362,19 +376,25 @@
                 to: agent.clone(),
                 message: Message::Cancel(request.run()),
             });
-            Problem::unknown(504, "the deadline has come while it ran")
+            Problem::unknown(
+                504,
+                "the deadline has passed after the request was sent; it may have run",
+            )
         }
         Stage::Claiming { .. } | Stage::Releasing(_) => {
-            let detail = "its claim could not be settled; ask again with the same key";
+            let detail = "the claim on its key could not be settled; try again with the same key";
             Problem::unknown(504, detail).retry_in(hint)
         }
-        Stage::Recalling { .. } => Problem::unknown(504, "the agent in its claim can't be reached"),
+        Stage::Recalling { .. } => Problem::unknown(
+            504,
+            "the agent named in its claim didn't report the outcome in time",
+        ),
     };
-    finish::end_with(state, now, id, problem, out);
+    finish::end_with_problem(state, now, id, problem, out);
 }
 
-/// The caller has hung up.
-pub(super) fn caller_gone(state: &mut RouterState, id: RequestId, out: &mut Vec<Effect>) {
+/// Handles a caller that has hung up: cancels its request.
+pub(super) fn on_caller_gone(state: &mut RouterState, id: RequestId, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.get(&id) else {
         return;
     };
@@ -384,5 +404,5 @@
             message: Message::Cancel(request.run()),
         });
     }
-    finish::forget(state, id, |_, _, _| {});
+    finish::remove_request(state, id, |_, _, _| {});
 }
