--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -85,7 +85,7 @@
             }
         }
     }
-    planner::add_wanted(state, &mut wanted);
+    planner::add_planner_sessions(state, &mut wanted);
     wanted
 }
 
--- a/src/logic/router/planner/condition.rs
+++ b/src/logic/router/planner/condition.rs
@@ -1,14 +1,15 @@
-/// What the planner knows of one group.
+/// State of one group as the planner sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
-    /// Takes work.
+    /// Accepts requests.
     Open,
-    /// Its leader lives, but it doesn't take work: it loads, or lacks a member.
+    /// Its leader is connected, but the group accepts no requests: it is loading or lacks a member.
     Closed,
-    /// Its leader has ended it: drained, with nothing in flight.
+    /// Its leader doesn't lead it any more, after a drain or the loss of a member; nothing is in
+    /// flight.
     Ended,
-    /// Its leader can't be reached from here, but a member still grants to it.
+    /// Its leader can't be reached from here, but another member still grants its presence to it.
     Outlived,
-    /// Its leader can't be reached, and no member is known to grant to it.
+    /// Its leader can't be reached, and no other member is known to grant its presence to it.
     Lost,
 }
--- a/src/logic/router/planner/duty.rs
+++ b/src/logic/router/planner/duty.rs
@@ -1,10 +1,12 @@
-//! The planner's duty: its lease, what it knows, what it writes.
+//! The planner lease, the planning pass, and the writes of domain records.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::survey::{by_domain, count_hall, domains, input, leaving};
+use super::survey::{
+    build_input, count_groups, hall_domains, instances_by_domain, leaving_instances,
+};
 use super::{plan, Plan, WorldView};
 use crate::logic::router::{
     agents, fleet, Check, Keys, Purpose, Put, RouterState, StoreCall, StoreReply, StoreResult,
@@ -12,24 +14,28 @@
 use crate::logic::{Effect, Note, NoteCode};
 use crate::types::{DomainRecord, InstanceId, Millis};
 
-/// Most thousandths of a write that are saved up.
-const TOKEN_LIMIT: u64 = 10_000;
+/// Limit of the saved tokens, in thousandths of a write.
+const MAX_TOKENS_PER_MILLE: u64 = 10_000;
 
-/// Looks after the lease and plans where the duty is held.
-pub(in crate::logic::router) fn tend(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    note_duty(state, now, out);
-    tend_lease(state, now, out);
+/// Renews the lease, and runs the planning pass where the lease is held.
+pub(in crate::logic::router) fn on_tick(
+    state: &mut RouterState,
+    now: Millis,
+    out: &mut Vec<Effect>,
+) {
+    on_lease_change(state, now, out);
+    renew_lease(state, now, out);
     if now < state.planner.plan_at {
         return;
     }
     state.planner.plan_at = now + state.knobs.plan_ms;
-    watch_silence(state, now);
+    update_silence(state, now);
     if state.planner.holds(now) && state.fleet.read && state.list_known {
         plan_hall(state, now, out);
     }
 }
 
-fn note_duty(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+fn on_lease_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let held = state.planner.holds(now);
     if held == state.planner.was_held {
         return;
@@ -44,7 +50,9 @@
     out.push(Effect::Note(Note::new(code).with("hall", &state.hall)));
 }
 
-fn tend_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+/// Renews the lease while it is held. Otherwise reads the planner key, to acquire the lease when
+/// the key is free.
+fn renew_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     if now < state.planner.lease_at {
         return;
     }
@@ -76,8 +84,8 @@
     state.call(Purpose::ReadPlanner, op, out);
 }
 
-/// A call of the planner's has been answered.
-pub(in crate::logic::router) fn answered(
+/// Handles the reply to a store call of the planner.
+pub(in crate::logic::router) fn on_store_reply(
     state: &mut RouterState,
     now: Millis,
     purpose: Purpose,
@@ -90,7 +98,7 @@
             state.call(Purpose::PlannerLease(now), StoreCall::Grant { ttl_s }, out);
         }
         (Purpose::PlannerLease(asked_at), Ok(StoreReply::Lease { lease, .. })) => {
-            take(state, lease, asked_at, out);
+            acquire_lease(state, lease, asked_at, out);
         }
         (Purpose::TakePlanner { lease, asked_at }, Ok(StoreReply::Swapped { done: true, .. })) => {
             state.planner.lease = Some(lease);
@@ -104,12 +112,14 @@
                 state.planner.held_until = asked_at + state.knobs.planner_ms;
             }
         }
-        (Purpose::WriteDomain(record), result) => written(state, now, *record, result, out),
+        (Purpose::WriteDomain(record), result) => {
+            on_record_written(state, now, *record, result, out)
+        }
         _ => {}
     }
 }
 
-fn take(state: &mut RouterState, lease: i64, asked_at: Millis, out: &mut Vec<Effect>) {
+fn acquire_lease(state: &mut RouterState, lease: i64, asked_at: Millis, out: &mut Vec<Effect>) {
     let key = Keys::planner(&state.hall);
     let op = StoreCall::Swap {
         checks: vec![Check {
@@ -127,8 +137,8 @@
     state.call(Purpose::TakePlanner { lease, asked_at }, op, out);
 }
 
-/// A record's write has ended: what stands now is taken up, or read again.
-fn written(
+/// Applies the record that stands after a write, or reads it again where the reply doesn't tell.
+fn on_record_written(
     state: &mut RouterState,
     now: Millis,
     written: DomainRecord,
@@ -149,39 +159,42 @@
                 fleet::domain_changed(state, now, &domain, record, entry.revision, out);
             }
         }
-        // The write may have taken effect: what stands now is read.
+        // The write may have taken effect, so the stored records are read.
         _ => fleet::read(state, out),
     }
 }
 
-/// Sessions that only a planner needs: every instance of its hall outside a
-/// group, and a second member of each group whose leader can't be reached.
-pub(in crate::logic::router) fn add_wanted(
+/// Adds the sessions that only a planner needs.
+///
+/// These are the instances of its data hall that are in no group or not live, and the second
+/// member of each group whose leader has no session with this router.
+pub(in crate::logic::router) fn add_planner_sessions(
     state: &RouterState,
     wanted: &mut BTreeMap<InstanceId, SocketAddr>,
 ) {
     if !state.planner.was_held {
         return;
     }
-    let mut used: std::collections::BTreeSet<&InstanceId> = Default::default();
+    let mut in_groups: std::collections::BTreeSet<&InstanceId> = Default::default();
     for group in state.fleet.groups() {
-        used.extend(group.members.iter().map(|m| &m.instance));
+        in_groups.extend(group.members.iter().map(|m| &m.instance));
         let leader = state.agents.get(&group.leader().instance);
-        let reached = leader.is_some_and(|l| l.up.is_some());
-        if let (false, Some(second)) = (reached, group.members.get(1)) {
+        let is_reached = leader.is_some_and(|l| l.up.is_some());
+        if let (false, Some(second)) = (is_reached, group.members.get(1)) {
             wanted.insert(second.instance.clone(), second.addr);
         }
     }
     for instance in state.instances.values() {
-        let here = instance.hall == state.hall && !instance.is_router();
-        if here && (!used.contains(&instance.id) || !instance.is_live()) {
+        let is_local = instance.hall == state.hall && !instance.is_router();
+        if is_local && (!in_groups.contains(&instance.id) || !instance.is_live()) {
             wanted.insert(instance.id.clone(), instance.addr);
         }
     }
 }
 
-/// Notes since when instances have been silent: to this router, or to their leader.
-fn watch_silence(state: &mut RouterState, now: Millis) {
+/// Records since when instances have had no session with this router, or no lease with their
+/// leader.
+fn update_silence(state: &mut RouterState, now: Millis) {
     let mut silent = BTreeMap::new();
     for (id, view) in &state.agents {
         if view.up.is_none() {
@@ -189,74 +202,78 @@
         }
         let lead = view.report.as_ref().and_then(|r| r.lead.as_ref());
         for missing in lead.iter().flat_map(|l| &l.missing) {
-            let since = state.planner.silent.get(missing).copied();
+            let since = state.planner.silent_since.get(missing).copied();
             silent.insert(missing.clone(), since.unwrap_or(now));
         }
     }
-    state.planner.silent = silent;
+    state.planner.silent_since = silent;
 }
 
 fn plan_hall(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let Some(bundle) = state.bundle().cloned() else {
         return;
     };
-    refill(state, now);
-    let leaving = leaving(state);
-    let hall = count_hall(state, &leaving, &bundle.body);
-    note_halts(state, &hall, out);
+    refill_tokens(state, now);
+    let leaving = leaving_instances(state);
+    let hall = count_groups(state, &leaving, &bundle.body);
+    log_halts(state, &hall, out);
     let known = state.instances.clone();
-    let here = by_domain(&known, &state.hall);
-    for (domain, record, revision) in domains(state) {
+    let by_domain = instances_by_domain(&known, &state.hall);
+    for (domain, record, revision) in hall_domains(state) {
         let writing = state.calling(|p| matches!(p, Purpose::WriteDomain(r) if r.domain == domain));
-        if writing || state.planner.tokens < 1_000 {
+        if writing || state.planner.write_tokens < 1_000 {
             continue;
         }
-        let input = input(state, &here, &leaving, now, &bundle.body, &record, &hall);
+        let input = build_input(
+            state,
+            &by_domain,
+            &leaving,
+            now,
+            &bundle.body,
+            &record,
+            &hall,
+        );
         let Some(plan) = plan(&input) else {
             continue;
         };
-        state.planner.tokens -= 1_000;
-        write(state, plan, revision, out);
-        // Counts over the hall have changed; the next look plans the rest.
+        state.planner.write_tokens -= 1_000;
+        write_record(state, plan, revision, out);
+        // The write changes the counts of the data hall, so the next pass plans the other domains.
         return;
     }
 }
 
-fn refill(state: &mut RouterState, now: Millis) {
-    let passed = now.saturating_sub(state.planner.tokens_at);
-    let added = passed * u64::from(state.knobs.plan_rate) / 60;
+fn refill_tokens(state: &mut RouterState, now: Millis) {
+    let elapsed = now.saturating_sub(state.planner.refilled_at);
+    let added = elapsed * u64::from(state.knobs.plan_rate) / 60;
     if added == 0 {
         return;
     }
-    state.planner.tokens = (state.planner.tokens + added).min(TOKEN_LIMIT);
-    state.planner.tokens_at = now;
+    state.planner.write_tokens = (state.planner.write_tokens + added).min(MAX_TOKENS_PER_MILLE);
+    state.planner.refilled_at = now;
 }
 
-/// Says once when a roll is halted because groups of the new version fail.
-fn note_halts(
-    state: &mut RouterState,
-    hall: &BTreeMap<Arc<str>, WorldView>,
-    out: &mut Vec<Effect>,
-) {
+/// Logs once when a rollout is halted because groups of the new version fail to load.
+fn log_halts(state: &mut RouterState, hall: &BTreeMap<Arc<str>, WorldView>, out: &mut Vec<Effect>) {
     for (model, count) in hall {
         let halted = count.failing > 0 && count.old > 0;
-        let known = state.planner.halted.contains_key(&**model);
+        let known = state.planner.halted_rolls.contains_key(&**model);
         if halted && !known {
             let why = format!("{} groups of the new version fail to load", count.failing);
-            let note = Note::new(NoteCode::RollHalted)
+            let event = Note::new(NoteCode::RollHalted)
                 .with("model", model)
                 .with("why", &why);
-            out.push(Effect::Note(note));
-            state.planner.halted.insert(model.to_string(), why);
+            out.push(Effect::Note(event));
+            state.planner.halted_rolls.insert(model.to_string(), why);
         } else if !halted {
-            state.planner.halted.remove(&**model);
+            state.planner.halted_rolls.remove(&**model);
         }
     }
 }
 
-fn write(state: &mut RouterState, plan: Plan, revision: i64, out: &mut Vec<Effect>) {
+fn write_record(state: &mut RouterState, plan: Plan, revision: i64, out: &mut Vec<Effect>) {
     let key = Keys::domain(&plan.record.domain);
-    out.extend(plan.notes.into_iter().map(Effect::Note));
+    out.extend(plan.log_events.into_iter().map(Effect::Note));
     let op = StoreCall::Swap {
         checks: vec![Check {
             key: key.clone(),
--- a/src/logic/router/planner/form.rs
+++ b/src/logic/router/planner/form.rs
@@ -1,4 +1,4 @@
-//! New groups where the bundle wants more than there are.
+//! Forms groups where the bundle wants more than exist.
 
 use std::sync::Arc;
 
@@ -13,15 +13,14 @@
     specs.sort_by_key(|m| std::cmp::Reverse(m.value));
     for spec in specs {
         let hall = input.hall.get(&spec.name).copied().unwrap_or_default();
-        let here_before = count_current(&input.record.groups, spec);
+        let existing = count_current(&input.record.groups, spec);
         let mut wanted = spec.per_hall.saturating_sub(hall.current);
         if hall.failing > 0 && hall.old > 0 {
-            // The roll is halted: no more instances go to a version that fails.
+            // The rollout is halted: a version that fails to load gets no more instances.
             wanted = 0;
         }
-        while wanted > 0 && count_current(&plan.record.groups, spec) < here_before + wanted as usize
-        {
-            if !form_one(input, plan, spec) {
+        while wanted > 0 && count_current(&plan.record.groups, spec) < existing + wanted as usize {
+            if !form_group(input, plan, spec) {
                 break;
             }
         }
@@ -35,24 +34,24 @@
         .count()
 }
 
-fn form_one(input: &PlanInput<'_>, plan: &mut Plan, spec: &ModelSpec) -> bool {
+fn form_group(input: &PlanInput<'_>, plan: &mut Plan, spec: &ModelSpec) -> bool {
     let kind = wanted_kind(spec.kind, &spec.name);
     let members: Vec<_> = input
         .spares(&plan.record, &kind)
         .into_iter()
         .take(spec.instances as usize)
-        .map(member)
+        .map(to_member)
         .collect();
     if members.len() < spec.instances as usize {
         return false;
     }
     let epoch = plan.record.next_epoch();
     let id = GroupId::new(&input.record.domain, epoch);
-    let note = Note::new(NoteCode::GroupPlanned)
+    let event = Note::new(NoteCode::GroupPlanned)
         .with("group", &id)
         .with("epoch", epoch)
         .with("model", &spec.name);
-    plan.notes.push(note);
+    plan.log_events.push(event);
     plan.record.groups.push(GroupRecord {
         id,
         epoch,
@@ -68,7 +67,7 @@
     true
 }
 
-fn member(instance: &Instance) -> Member {
+fn to_member(instance: &Instance) -> Member {
     Member {
         instance: instance.id.clone(),
         addr: instance.addr,
--- a/src/logic/router/planner/health.rs
+++ b/src/logic/router/planner/health.rs
@@ -1,13 +1,14 @@
 use crate::types::Millis;
 
-/// What the planner knows of one instance.
+/// State of one instance as the planner sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Health {
-    /// Listed as live, and its agent answers or hasn't been asked.
+    /// Listed as live, and neither this router nor a group's leader finds it silent.
     Live,
-    /// Listed as live, but its agent hasn't answered for this many milliseconds.
+    /// Listed as live, but its agent has had no session with this router, or no lease with its
+    /// leader, for this many milliseconds.
     Silent(Millis),
-    /// Leaving.
+    /// Leaving, by the instance list, its own report or its leader's.
     Leaving,
     /// No longer listed.
     Gone,
--- a/src/logic/router/planner/mod.rs
+++ b/src/logic/router/planner/mod.rs
@@ -1,7 +1,7 @@
 //! Planning the groups of one data hall while its planner lease is held.
 //!
-//! [`plan`] is a pure function over what is known of one fabric domain; the
-//! duty around it holds the lease, gathers that knowledge and writes records.
+//! [`plan`] is a pure function of what is known about one fabric domain. The code around it
+//! renews the lease, gathers the input and writes the records.
 
 mod condition;
 mod duty;
@@ -15,7 +15,7 @@
 mod survey;
 mod world_view;
 
-pub(super) use duty::{add_wanted, answered, tend};
+pub(super) use duty::{add_planner_sessions, on_store_reply, on_tick};
 
 pub use condition::Condition;
 pub use health::Health;
--- a/src/logic/router/planner/plan.rs
+++ b/src/logic/router/planner/plan.rs
@@ -2,26 +2,28 @@
 use crate::logic::Note;
 use crate::types::{DomainRecord, GroupId, GroupRecord, InstanceId, Member, ModelKind, ModelSpec};
 
-/// A changed record with the reasons for the change.
+/// A changed record, with the log events that explain the change.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The record to write.
     pub record: DomainRecord,
-    /// Why.
-    pub notes: Vec<Note>,
+    /// Events that name each change, to be logged when the write is sent.
+    pub log_events: Vec<Note>,
 }
 
-/// Decides what to change in one domain; `None` when nothing is to be changed.
+/// Plans the changes of one domain.
 ///
-/// Cheapest first: ended groups leave, spares fill gaps, a group is given up
-/// for a more valuable one, new groups are formed, old versions are drained.
+/// Returns `None` when nothing changes, or when the result would put an instance into two groups.
+/// The cheapest changes come first: ended groups are removed, lost members are replaced by
+/// spares or by the members of a less valuable group, new groups are formed, and a surplus or
+/// outdated group is drained.
 pub fn plan(input: &PlanInput<'_>) -> Option<Plan> {
     let mut plan = Plan {
         record: input.record.clone(),
-        notes: Vec::new(),
+        log_events: Vec::new(),
     };
     retire::remove_ended(input, &mut plan);
-    repair::fill_gaps(input, &mut plan);
+    repair::repair_groups(input, &mut plan);
     form::form_groups(input, &mut plan);
     retire::drain_surplus(input, &mut plan);
     let valid = plan.record.shared_instance().is_none();
@@ -36,7 +38,7 @@
     }
 }
 
-/// Whether a group's record is what the bundle asks for.
+/// Whether a group's record matches the bundle's specification of its model.
 pub(super) fn is_current(group: &GroupRecord, spec: &ModelSpec) -> bool {
     group.version == spec.version
         && group.kind == spec.kind
--- a/src/logic/router/planner/plan_input.rs
+++ b/src/logic/router/planner/plan_input.rs
@@ -4,7 +4,7 @@
 use super::{Condition, Health, WorldView};
 use crate::types::{BundleBody, DomainRecord, GroupId, Instance, InstanceId, Millis};
 
-/// All that a plan for one fabric domain depends on.
+/// Everything that a plan for one fabric domain depends on.
 #[derive(Clone, Debug)]
 pub struct PlanInput<'a> {
     /// The bundle in force.
@@ -13,32 +13,32 @@
     pub record: &'a DomainRecord,
     /// Listed instances of the domain.
     pub instances: Vec<&'a Instance>,
-    /// Health of each instance that is listed or a member.
+    /// Health of each instance that is listed or a group member.
     pub health: BTreeMap<InstanceId, Health>,
     /// Condition of each group.
     pub conditions: BTreeMap<GroupId, Condition>,
-    /// Groups whose endpoints fail to load.
+    /// Groups with a member whose endpoint failed to load.
     pub failing: Vec<GroupId>,
     /// Counts over the whole data hall, by model.
     pub hall: &'a BTreeMap<Arc<str>, WorldView>,
-    /// Longest time a missing member is waited for, in milliseconds.
+    /// Longest time for which a silent member keeps its place, in milliseconds.
     pub patience_ms: Millis,
-    /// Whether a group may be given up for a more valuable one.
+    /// Whether a group may be dissolved to repair another one that is worth more.
     pub trade: bool,
 }
 
 impl PlanInput<'_> {
-    /// Health of an instance; unknown ones count as gone.
+    /// Health of an instance; an unknown one is [`Health::Gone`].
     pub fn health_of(&self, id: &InstanceId) -> Health {
         self.health.get(id).copied().unwrap_or(Health::Gone)
     }
 
-    /// Condition of a group; unknown ones count as lost.
+    /// Condition of a group; an unknown one is [`Condition::Lost`].
     pub fn condition_of(&self, id: &GroupId) -> Condition {
         self.conditions.get(id).copied().unwrap_or(Condition::Lost)
     }
 
-    /// Listed, live, answering instances of a kind outside any group of `record`.
+    /// Instances of a kind that are [`Health::Live`] and in no group of `record`.
     pub fn spares(&self, record: &DomainRecord, kind: &str) -> Vec<&Instance> {
         self.instances
             .iter()
--- a/src/logic/router/planner/planner_state.rs
+++ b/src/logic/router/planner/planner_state.rs
@@ -2,31 +2,32 @@
 
 use crate::types::{InstanceId, Millis};
 
-/// State of the planner's duty at one router.
+/// State of the planner lease and of planning at one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlannerState {
-    /// Lease held, or being taken.
+    /// Id of the lease, once the planner key has been written under it.
     pub lease: Option<i64>,
-    /// The duty is held before this time on the own clock.
+    /// The lease is held before this time on the router's own clock.
     pub held_until: Millis,
-    /// When the lease is looked after next.
+    /// When the lease is next renewed, or its key read to acquire it.
     pub lease_at: Millis,
-    /// When plans are made next.
+    /// When the next planning pass is due.
     pub plan_at: Millis,
-    /// Since when each silent instance has been silent.
-    pub silent: BTreeMap<InstanceId, Millis>,
-    /// Thousandths of a record write that may be made.
-    pub tokens: u64,
+    /// Since when each silent instance has been without a session with this router, or missing
+    /// by its leader's report.
+    pub silent_since: BTreeMap<InstanceId, Millis>,
+    /// Tokens for record writes; one write costs 1,000.
+    pub write_tokens: u64,
     /// When tokens were last added.
-    pub tokens_at: Millis,
-    /// Whether the duty was held at the last look.
+    pub refilled_at: Millis,
+    /// Whether the lease was held at the last tick.
     pub was_held: bool,
-    /// Model whose roll is halted, and why; noted once.
-    pub halted: BTreeMap<String, String>,
+    /// Models whose rollout is halted, with the reason; each is logged once.
+    pub halted_rolls: BTreeMap<String, String>,
 }
 
 impl PlannerState {
-    /// Whether the duty is held.
+    /// Whether the planner lease is held at `now`.
     pub fn holds(&self, now: Millis) -> bool {
         self.lease.is_some() && now < self.held_until
     }
--- a/src/logic/router/planner/repair.rs
+++ b/src/logic/router/planner/repair.rs
@@ -1,34 +1,34 @@
-//! Missing members: a spare fills the gap, or a less valuable group is given up.
+//! Replaces lost members by spares, or by the members of a group that is dissolved for them.
 
 use super::plan::wanted_kind;
 use super::{Condition, Health, Plan, PlanInput};
 use crate::logic::{Note, NoteCode};
 use crate::types::{GroupId, GroupRecord, InstanceId, Member, Phase};
 
-/// Fills the gaps of each broken group, the most valuable first.
-pub(super) fn fill_gaps(input: &PlanInput<'_>, plan: &mut Plan) {
+/// Repairs each group in phase `Serving` that doesn't serve, the most valuable first.
+pub(super) fn repair_groups(input: &PlanInput<'_>, plan: &mut Plan) {
     let mut broken: Vec<_> = plan
         .record
         .groups
         .iter()
         .filter(|g| g.phase == Phase::Serving)
-        .filter(|g| !serves(input, g))
-        .map(|g| (value(input, g), g.id.clone()))
+        .filter(|g| !is_serving(input, g))
+        .map(|g| (group_value(input, g), g.id.clone()))
         .collect();
     broken.sort_by_key(|(value, id)| (std::cmp::Reverse(*value), id.clone()));
     for (_, id) in broken {
-        repair(input, plan, &id);
+        repair_group(input, plan, &id);
     }
 }
 
-fn serves(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
+fn is_serving(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
     matches!(
         input.condition_of(&group.id),
         Condition::Open | Condition::Outlived
     )
 }
 
-fn value(input: &PlanInput<'_>, group: &GroupRecord) -> u64 {
+fn group_value(input: &PlanInput<'_>, group: &GroupRecord) -> u64 {
     input
         .body
         .model(&group.model)
@@ -36,27 +36,29 @@
 }
 
 /// Members that have to be replaced now.
-fn gaps(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<InstanceId> {
+///
+/// A silent member is waited for no longer than the group takes to load its weights.
+fn lost_members(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<InstanceId> {
     let ended = input.condition_of(&group.id) == Condition::Ended;
-    let patience = input.patience_ms.min(group.load_ms.max(1));
-    let lost = |id: &InstanceId| match input.health_of(id) {
+    let wait_limit = input.patience_ms.min(group.load_ms.max(1));
+    let is_lost = |id: &InstanceId| match input.health_of(id) {
         Health::Gone => true,
-        Health::Silent(ms) => ms >= patience,
-        // A leaving member stays until its group has drained.
+        Health::Silent(ms) => ms >= wait_limit,
+        // A leaving member keeps its place until its group has drained.
         Health::Leaving => ended,
         Health::Live => false,
     };
     let members = group.members.iter().map(|m| &m.instance);
-    members.filter(|id| lost(id)).cloned().collect()
+    members.filter(|id| is_lost(id)).cloned().collect()
 }
 
-fn repair(input: &PlanInput<'_>, plan: &mut Plan, id: &GroupId) {
+fn repair_group(input: &PlanInput<'_>, plan: &mut Plan, id: &GroupId) {
     let Some(group) = plan.record.group(id).cloned() else {
         return;
     };
-    let gaps = gaps(input, &group);
-    if gaps.is_empty() {
-        renew_ended(input, plan, &group);
+    let lost = lost_members(input, &group);
+    if lost.is_empty() {
+        restart_ended(input, plan, &group);
         return;
     }
     let kind = wanted_kind(group.kind, &group.model);
@@ -68,61 +70,68 @@
             addr: i.addr,
         })
         .collect();
-    if spares.len() >= gaps.len() {
-        fill(plan, id, &gaps, &spares, "spare");
+    if spares.len() >= lost.len() {
+        replace_members(plan, id, &lost, &spares, "spare");
         return;
     }
-    let needed = gaps.len() - spares.len();
-    match given_up(input, plan, &group, needed) {
-        Some(victim) => {
-            let mut members = spares;
-            members.extend(healthy(input, &victim));
-            plan.record.groups.retain(|g| g.id != victim.id);
-            let note = Note::new(NoteCode::GroupRetired)
-                .with("group", &victim.id)
+    let needed = lost.len() - spares.len();
+    match group_to_dissolve(input, plan, &group, needed) {
+        Some(dissolved) => {
+            let mut replacements = spares;
+            replacements.extend(live_members(input, &dissolved));
+            plan.record.groups.retain(|g| g.id != dissolved.id);
+            let event = Note::new(NoteCode::GroupRetired)
+                .with("group", &dissolved.id)
                 .with("given_up_for", id);
-            plan.notes.push(note);
-            fill(plan, id, &gaps, &members, "given up");
+            plan.log_events.push(event);
+            replace_members(plan, id, &lost, &replacements, "dissolved group");
         }
-        None => abandon_if_hopeless(input, plan, &group, &gaps),
+        None => wait_or_remove(input, plan, &group, &lost),
     }
 }
 
-fn fill(plan: &mut Plan, id: &GroupId, gaps: &[InstanceId], members: &[Member], from: &str) {
-    for (gap, member) in gaps.iter().zip(members) {
-        let note = Note::new(NoteCode::GroupRepaired)
+fn replace_members(
+    plan: &mut Plan,
+    id: &GroupId,
+    lost: &[InstanceId],
+    replacements: &[Member],
+    from: &str,
+) {
+    for (old, new) in lost.iter().zip(replacements) {
+        let event = Note::new(NoteCode::GroupRepaired)
             .with("group", id)
-            .with("missing", gap)
-            .with("member", &member.instance)
+            .with("missing", old)
+            .with("member", &new.instance)
             .with("from", from);
-        plan.notes.push(note);
-        plan.replace(id, gap, member.clone());
+        plan.log_events.push(event);
+        plan.replace(id, old, new.clone());
     }
 }
 
-/// A group whose leader has ended it, with all members healthy, starts again.
-fn renew_ended(input: &PlanInput<'_>, plan: &mut Plan, group: &GroupRecord) {
+/// Starts a group again, under a new epoch, that its leader has ended and that needs no new member.
+fn restart_ended(input: &PlanInput<'_>, plan: &mut Plan, group: &GroupRecord) {
     if input.condition_of(&group.id) != Condition::Ended {
         return;
     }
     let epoch = plan.record.next_epoch();
     if let Some(group) = plan.record.group_mut(&group.id) {
         group.epoch = epoch;
-        let note = Note::new(NoteCode::GroupPlanned)
+        let event = Note::new(NoteCode::GroupPlanned)
             .with("group", &group.id)
             .with("epoch", epoch);
-        plan.notes.push(note);
+        plan.log_events.push(event);
     }
 }
 
-fn healthy(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<Member> {
+fn live_members(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<Member> {
     let live = |m: &&Member| input.health_of(&m.instance) == Health::Live;
     group.members.iter().filter(live).cloned().collect()
 }
 
-/// The group whose loss costs least and less than the repair is worth, by the
-/// operators' own weights.
-fn given_up(
+/// The group to dissolve so that its live members repair `broken`.
+///
+/// It is the one with the highest gain by the operators' weights; `None` when no gain is positive.
+fn group_to_dissolve(
     input: &PlanInput<'_>,
     plan: &Plan,
     broken: &GroupRecord,
@@ -135,53 +144,58 @@
     for other in &plan.record.groups {
         let fits = other.id != broken.id
             && other.kind == broken.kind
-            && healthy(input, other).len() >= needed
+            && live_members(input, other).len() >= needed
             && input.condition_of(&other.id) != Condition::Outlived;
         if !fits {
             continue;
         }
         let gain = gain(input, broken, other, needed);
-        if gain > 0 && best.is_none_or(|(most, _)| gain > most) {
+        if gain > 0 && best.is_none_or(|(highest, _)| gain > highest) {
             best = Some((gain, other));
         }
     }
     best.map(|(_, group)| group.clone())
 }
 
-/// What giving `other` up for `broken` saves, in the operators' cost a second.
+/// Gain of dissolving `other` to repair `broken`, in the operators' cost per second.
+///
+/// It weighs the value of the group that serves afterwards against the one that did before, and
+/// the number of live instances that are stranded, that is, outside any group that serves.
 fn gain(input: &PlanInput<'_>, broken: &GroupRecord, other: &GroupRecord, needed: usize) -> i64 {
     let measure = input.body.measure;
     let signed = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
-    let other_serves = serves(input, other);
-    let won = signed(value(input, broken));
+    let other_serves = is_serving(input, other);
+    let gained = signed(group_value(input, broken));
     let lost = if other_serves {
-        signed(value(input, other))
+        signed(group_value(input, other))
     } else {
         0
     };
-    let idle = |g: &GroupRecord| healthy(input, g).len() as i64;
-    let stranded_before = idle(broken) + if other_serves { 0 } else { idle(other) };
-    let stranded_after = idle(other) - needed as i64;
-    i64::from(measure.downtime) * (won - lost)
+    let live_count = |g: &GroupRecord| live_members(input, g).len() as i64;
+    let stranded_before = live_count(broken) + if other_serves { 0 } else { live_count(other) };
+    let stranded_after = live_count(other) - needed as i64;
+    i64::from(measure.downtime) * (gained - lost)
         + i64::from(measure.stranded) * (stranded_before - stranded_after)
 }
 
-/// A draining wait that no spare can end frees its instances for other groups.
-fn abandon_if_hopeless(
+/// Logs that a group waits for members that can't be replaced now.
+///
+/// A group that its leader has ended is removed, so that its instances can serve in other groups.
+fn wait_or_remove(
     input: &PlanInput<'_>,
     plan: &mut Plan,
     group: &GroupRecord,
-    gaps: &[InstanceId],
+    lost: &[InstanceId],
 ) {
-    let missing: Vec<_> = gaps.iter().map(|i| i.to_string()).collect();
-    let note = Note::new(NoteCode::GroupWaits)
+    let missing: Vec<_> = lost.iter().map(|i| i.to_string()).collect();
+    let event = Note::new(NoteCode::GroupWaits)
         .with("group", &group.id)
         .with("missing", missing.join(","));
     if input.condition_of(&group.id) == Condition::Ended {
         plan.record.groups.retain(|g| g.id != group.id);
         plan.record.next_epoch();
-        plan.notes
+        plan.log_events
             .push(Note::new(NoteCode::GroupRetired).with("group", &group.id));
     }
-    plan.notes.push(note);
+    plan.log_events.push(event);
 }
--- a/src/logic/router/planner/retire.rs
+++ b/src/logic/router/planner/retire.rs
@@ -1,11 +1,11 @@
-//! Groups that leave: ended ones, surplus ones, old versions one at a time.
+//! Removes ended groups from the record, and drains surplus and outdated groups one at a time.
 
 use super::plan::is_current;
 use super::{Condition, Plan, PlanInput};
 use crate::logic::{Note, NoteCode};
 use crate::types::{GroupRecord, Phase};
 
-/// Takes draining groups that have ended out of the record.
+/// Removes draining groups from the record that have ended or that nobody serves any more.
 pub(super) fn remove_ended(input: &PlanInput<'_>, plan: &mut Plan) {
     let ended: Vec<_> = plan
         .record
@@ -22,21 +22,22 @@
         .collect();
     for id in ended {
         plan.record.groups.retain(|g| g.id != id);
-        // The epoch moves on, so that a late leader learns that its group is gone.
+        // The record's epoch grows, so that a leader that still leads the group when it connects
+        // again is told to release it.
         plan.record.next_epoch();
-        plan.notes
+        plan.log_events
             .push(Note::new(NoteCode::GroupRetired).with("group", &id));
     }
 }
 
-/// Drains groups that the bundle doesn't want, at most one a plan.
+/// Drains a group that the bundle doesn't want, at most one per plan.
 pub(super) fn drain_surplus(input: &PlanInput<'_>, plan: &mut Plan) {
     let surplus = plan
         .record
         .groups
         .iter()
         .filter(|g| g.phase == Phase::Serving)
-        .find(|g| input.condition_of(&g.id) != Condition::Outlived && unwanted(input, g))
+        .find(|g| input.condition_of(&g.id) != Condition::Outlived && is_unwanted(input, g))
         .map(|g| g.id.clone());
     let Some(id) = surplus else {
         return;
@@ -44,11 +45,11 @@
     if let Some(group) = plan.record.group_mut(&id) {
         group.phase = Phase::Draining;
     }
-    plan.notes
+    plan.log_events
         .push(Note::new(NoteCode::GroupDrainPlanned).with("group", &id));
 }
 
-fn unwanted(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
+fn is_unwanted(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
     let Some(spec) = input.body.model(&group.model) else {
         return true;
     };
@@ -56,12 +57,13 @@
     if is_current(group, spec) {
         return hall.current > spec.per_hall;
     }
-    // An old version goes when new groups have taken its place, or when the
-    // floor leaves room to drain one and form the next from its instances.
+    // Draining an outdated group must leave at least `floor` groups open, unless it isn't open
+    // itself. It begins once new groups have replaced it, or while no group of the model drains,
+    // loads or fails to load, so that the next new group can be formed from its instances.
     let open = hall.current_open + hall.old_open;
-    let stays_open = input.condition_of(&group.id) != Condition::Open || open > spec.floor;
+    let keeps_floor = input.condition_of(&group.id) != Condition::Open || open > spec.floor;
     let loading = hall.current > hall.current_open;
     let replaced = hall.current_open >= spec.per_hall;
-    let turn = hall.draining == 0 && !loading && hall.failing == 0;
-    stays_open && (replaced || turn)
+    let may_start = hall.draining == 0 && !loading && hall.failing == 0;
+    keeps_floor && (replaced || may_start)
 }
--- a/src/logic/router/planner/survey.rs
+++ b/src/logic/router/planner/survey.rs
@@ -1,4 +1,4 @@
-//! What the planner knows: health of instances, condition of groups, counts.
+//! Gathers the input of a plan: health of instances, condition of groups, counts per model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,8 +10,8 @@
     BundleBody, DomainRecord, GroupId, GroupRecord, Instance, InstanceId, Millis, Phase,
 };
 
-/// Instances of the own hall by their fabric domain.
-pub(super) fn by_domain<'a>(
+/// Instances of a data hall by fabric domain, without routers.
+pub(super) fn instances_by_domain<'a>(
     instances: &'a BTreeMap<InstanceId, Instance>,
     hall: &Arc<str>,
 ) -> BTreeMap<Arc<str>, Vec<&'a Instance>> {
@@ -27,8 +27,10 @@
     found
 }
 
-/// Domains of the own hall: those with a record and those with instances only.
-pub(super) fn domains(state: &RouterState) -> Vec<(Arc<str>, DomainRecord, i64)> {
+/// Fabric domains of the own data hall with their records and revisions.
+///
+/// A domain that has instances but no record yet gets an empty record with revision 0.
+pub(super) fn hall_domains(state: &RouterState) -> Vec<(Arc<str>, DomainRecord, i64)> {
     let mut found: BTreeMap<Arc<str>, (DomainRecord, i64)> = state
         .fleet
         .domains
@@ -45,7 +47,7 @@
     found.into_iter().map(|(n, (d, r))| (n, d, r)).collect()
 }
 
-pub(super) fn input<'a>(
+pub(super) fn build_input<'a>(
     state: &'a RouterState,
     here: &BTreeMap<Arc<str>, Vec<&'a Instance>>,
     leaving: &BTreeSet<InstanceId>,
@@ -72,7 +74,7 @@
     let failing: Vec<GroupId> = record
         .groups
         .iter()
-        .filter(|g| fails(state, g))
+        .filter(|g| fails_to_load(state, g))
         .map(|g| g.id.clone())
         .collect();
     PlanInput {
@@ -97,14 +99,15 @@
     if leaving.contains(&instance.id) {
         return Health::Leaving;
     }
-    match state.planner.silent.get(&instance.id) {
+    match state.planner.silent_since.get(&instance.id) {
         Some(since) => Health::Silent(now.saturating_sub(*since)),
         None => Health::Live,
     }
 }
 
-/// Instances that are leaving, by the list, their own word or their leader's.
-pub(super) fn leaving(state: &RouterState) -> BTreeSet<InstanceId> {
+/// Instances that are leaving by the instance list, by their own reports or by those of their
+/// leaders.
+pub(super) fn leaving_instances(state: &RouterState) -> BTreeSet<InstanceId> {
     let listed = state.instances.values().filter(|i| !i.is_live());
     let mut leaving: BTreeSet<_> = listed.map(|i| i.id.clone()).collect();
     for (id, view) in &state.agents {
@@ -128,7 +131,7 @@
 ) -> Condition {
     let leader = state.agents.get(&group.leader().instance);
     let Some(report) = leader.and_then(|l| l.report.as_ref()) else {
-        return if outlives(state, group) {
+        return if has_granting_member(state, group) {
             Condition::Outlived
         } else {
             Condition::Lost
@@ -137,28 +140,34 @@
     match &report.lead {
         Some(lead) if lead.group == group.id && lead.open => Condition::Open,
         Some(lead) if lead.group == group.id => Condition::Closed,
-        // The leader knows the epoch and has ended it, or hasn't taken it up yet.
-        _ if ended(state, leaving, group) => Condition::Ended,
+        // The leader has ended this epoch, or hasn't been assigned it yet.
+        _ if has_ended(state, leaving, group) => Condition::Ended,
         _ => Condition::Closed,
     }
 }
 
-/// A leader without a lead has ended a group that drained or that loses a member.
-fn ended(state: &RouterState, leaving: &BTreeSet<InstanceId>, group: &GroupRecord) -> bool {
-    let lost = |id: &InstanceId| leaving.contains(id) || !state.instances.contains_key(id);
-    group.phase == Phase::Draining || group.members.iter().any(|m| lost(&m.instance))
+/// Whether a leader that doesn't lead the group must have ended it.
+///
+/// True where the group was to drain, or where a member is leaving or no longer listed.
+fn has_ended(state: &RouterState, leaving: &BTreeSet<InstanceId>, group: &GroupRecord) -> bool {
+    let is_lost = |id: &InstanceId| leaving.contains(id) || !state.instances.contains_key(id);
+    group.phase == Phase::Draining || group.members.iter().any(|m| is_lost(&m.instance))
 }
 
-/// Whether another member says that it still grants its presence to the group.
-fn outlives(state: &RouterState, group: &GroupRecord) -> bool {
-    let grants = |id: &InstanceId| {
+/// Whether another member than the leader reports that it grants its presence to the group.
+fn has_granting_member(state: &RouterState, group: &GroupRecord) -> bool {
+    let is_granting = |id: &InstanceId| {
         let report = state.agents.get(id).and_then(|a| a.report.as_ref());
         report.is_some_and(|r| r.grant == Some((group.id.clone(), group.epoch)))
     };
-    group.members.iter().skip(1).any(|m| grants(&m.instance))
+    group
+        .members
+        .iter()
+        .skip(1)
+        .any(|m| is_granting(&m.instance))
 }
 
-fn fails(state: &RouterState, group: &GroupRecord) -> bool {
+fn fails_to_load(state: &RouterState, group: &GroupRecord) -> bool {
     let leader = state.agents.get(&group.leader().instance);
     let lead = leader
         .and_then(|l| l.report.as_ref())
@@ -166,7 +175,7 @@
     lead.is_some_and(|l| l.group == group.id && !l.failed.is_empty())
 }
 
-pub(super) fn count_hall(
+pub(super) fn count_groups(
     state: &RouterState,
     leaving: &BTreeSet<InstanceId>,
     body: &BundleBody,
@@ -185,10 +194,11 @@
         if group.phase == Phase::Draining {
             count.draining += 1;
         } else if is_current(group, spec) {
-            // A group that loses a member needs a successor before it drains.
-            count.current += u32::from(!loses_member(leaving, group));
+            // A group that loses a member isn't counted, so that a successor is formed before it
+            // drains.
+            count.current += u32::from(!has_leaving_member(leaving, group));
             count.current_open += open;
-            count.failing += u32::from(fails(state, group));
+            count.failing += u32::from(fails_to_load(state, group));
         } else {
             count.old += 1;
             count.old_open += open;
@@ -197,6 +207,6 @@
     counts
 }
 
-fn loses_member(leaving: &BTreeSet<InstanceId>, group: &GroupRecord) -> bool {
+fn has_leaving_member(leaving: &BTreeSet<InstanceId>, group: &GroupRecord) -> bool {
     group.members.iter().any(|m| leaving.contains(&m.instance))
 }
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -40,7 +40,7 @@
     head::tend(state, now, out);
     peers::tend(state, now, out);
     roll::tend(state, now, out);
-    planner::tend(state, now, out);
+    planner::on_tick(state, now, out);
     recalling::tend(state, now, out);
     sending::tend(state, now, out);
     agents::tend(state, now, out);
@@ -135,7 +135,7 @@
                 state.claims.leased_at = asked_at;
             }
         }
-        planner_call => planner::answered(state, now, planner_call, result, out),
+        planner_call => planner::on_store_reply(state, now, planner_call, result, out),
     }
 }
 
