--- a/src/logic/agent/admission.rs
+++ b/src/logic/agent/admission.rs
@@ -1,25 +1,25 @@
-//! Whether an attempt is taken, and why not.
+//! Admission of attempts, and the reasons for refusing them.
 
 use super::{claims, estimate, runs, AgentState, Job, OnceEntry, OnceState};
 use crate::logic::Effect;
 use crate::message::{Refusal, RunOrder};
 use crate::types::{InstanceId, Millis};
 
-/// Priority of a class that the agent's bundle doesn't know: after all others.
+/// Priority of a class that the agent's bundle doesn't have: the least urgent.
 const LAST_PRIORITY: u8 = u8::MAX;
 
-/// Takes or refuses an attempt.
-pub(super) fn ordered(
+/// Admits or refuses an attempt.
+pub(super) fn on_run_order(
     state: &mut AgentState,
     now: Millis,
     from: &InstanceId,
     order: RunOrder,
     out: &mut Vec<Effect>,
 ) {
-    if let Some(used) = state.routers.get_mut(from) {
-        *used = Some(now);
+    if let Some(last_order) = state.routers.get_mut(from) {
+        *last_order = Some(now);
     }
-    if runs::known(state, &order.run) {
+    if runs::is_known(state, &order.run) {
         return;
     }
     if let Some(refusal) = refusal(state, now, &order) {
@@ -32,12 +32,12 @@
         priority: class.map_or(LAST_PRIORITY, |c| c.priority),
         preempt: class.is_some_and(|c| c.preempt) && order.once.is_none(),
         deadline: now + order.left_ms,
-        since: now,
+        arrived_at: now,
         first_start: None,
         pieces: order.offset,
         text: order.prefix.clone(),
         watchers: vec![(from.clone(), order.run)],
-        started: false,
+        was_paused: false,
         order,
     };
     if let Some(once) = job.order.once {
@@ -83,24 +83,25 @@
     let Some(lead) = &state.lead else {
         return Some(Refusal::Epoch);
     };
-    let same = lead.record.id == order.group && lead.record.epoch == order.epoch;
-    if state.rules.epoch_fence && !same {
+    let is_led = lead.record.id == order.group && lead.record.epoch == order.epoch;
+    if state.rules.epoch_fence && !is_led {
         return Some(Refusal::Epoch);
     }
-    if lead.draining() {
+    if lead.is_draining() {
         return Some(Refusal::Draining);
     }
     (!state.open(now)).then_some(Refusal::Closed)
 }
 
-/// A request that can't be answered before its deadline is refused at the door.
+/// Refuses a request when the queue is full, or when it would have to wait and isn't expected to
+/// end before its deadline.
 fn load_refusal(state: &AgentState, order: &RunOrder) -> Option<Refusal> {
     let class = state.brief.class(&order.class);
     let priority = class.map_or(LAST_PRIORITY, |c| c.priority);
-    let wait = estimate::wait(state, priority);
+    let wait = estimate::expected_wait(state, priority);
     if state.queue.len() >= state.knobs.queue_limit as usize {
         return Some(Refusal::Full(wait.max(1)));
     }
-    let end = wait + estimate::mean(state, priority);
+    let end = wait + estimate::mean_time(state, priority);
     (end >= order.left_ms && wait > 0).then_some(Refusal::TooLate(wait))
 }
--- a/src/logic/agent/agent_knobs.rs
+++ b/src/logic/agent/agent_knobs.rs
@@ -1,29 +1,31 @@
 use crate::types::Millis;
 
-/// Numbers that an agent decides by. Times are in milliseconds.
+/// Parameters of an agent. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AgentKnobs {
     /// Length of a presence lease; the same on every instance of a fleet.
     pub lease_ms: Millis,
-    /// Added by a member to each grant, for drift between two clocks.
+    /// Added by a member to the length of each grant, for the drift between its clock and its
+    /// leader's.
     pub margin_ms: Millis,
     /// Time between two rounds of lease requests.
     pub ask_ms: Millis,
-    /// Requests the endpoint runs at once.
+    /// Requests that the endpoint runs at once, until it reports its own number.
     pub slots: u32,
     /// Requests that may wait.
     pub queue_limit: u32,
-    /// How long a group with a leaving member serves on while a successor forms.
+    /// How long a group with a leaving member still accepts requests while a successor forms.
     pub leave_ms: Millis,
-    /// Wait before a failed load is tried again.
+    /// Time after a failed load before it is ordered again.
     pub load_retry_ms: Millis,
-    /// Shortest time between two reports that differ only in counts.
+    /// Shortest time between two reports that differ only in the load.
     pub report_ms: Millis,
-    /// Longest answer that is kept for a caller who asks again, in bytes.
+    /// Longest answer that is kept for a repeated request, in bytes.
     pub answer_bytes: u32,
-    /// Bytes of all answers that are kept together.
+    /// Limit of the size of all kept answers together, in bytes.
     pub answers_bytes: u32,
-    /// Whether classes are served by priority with reserved slots; off only as a baseline.
+    /// Whether requests are served by priority, with reserved slots and pauses, and by shares of
+    /// the accounts; otherwise in order of arrival, only as a baseline for comparison.
     pub by_class: bool,
 }
 
--- a/src/logic/agent/agent_state.rs
+++ b/src/logic/agent/agent_state.rs
@@ -5,62 +5,62 @@
 use crate::message::{Report, RunId};
 use crate::types::{Brief, InstanceId, Millis};
 
-/// Whole state of an agent.
+/// Complete state of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AgentState {
-    /// Safety rules; all on outside the model check.
+    /// Safety rules; only the model check turns any off.
     pub rules: Rules,
-    /// Numbers it decides by.
+    /// Parameters.
     pub knobs: AgentKnobs,
     /// Own instance.
-    pub me: InstanceId,
+    pub id: InstanceId,
     /// Random number of this process.
     pub incarnation: u64,
     /// Grants nothing before this time.
     pub ready_at: Millis,
-    /// Agents' part of the newest bundle it has heard of.
+    /// Agents' part of the newest bundle received.
     pub brief: Brief,
-    /// Highest epoch granted, led or given up.
+    /// Highest epoch seen in a lease request or an assigned record.
     pub seen_epoch: u64,
-    /// Presence granted now.
+    /// The presence grant in force.
     pub grant: Option<Grant>,
-    /// What the own endpoint has loaded or is loading.
+    /// Load order of the own endpoint and its progress.
     pub share: Option<Share>,
-    /// Group that is led from here.
+    /// Group that this agent leads.
     pub lead: Option<Lead>,
-    /// Requests that wait.
+    /// Waiting requests.
     pub queue: JobQueue,
     /// Requests handed to the endpoint.
     pub running: BTreeMap<RunId, Running>,
-    /// Requests that may not be repeated.
+    /// Claimed requests, which may not be repeated.
     pub memory: OnceMemory,
-    /// Routers with a session, and when each sent its last order.
+    /// Routers with a session, and when each last sent an order to run a request.
     pub routers: BTreeMap<InstanceId, Option<Millis>>,
-    /// When leaving began.
+    /// When the agent began to leave.
     pub leaving_at: Option<Millis>,
-    /// Whether the process ends once it has nothing left to do.
+    /// Whether the process exits once it has nothing left to do.
     pub stopping: bool,
-    /// Report sent last.
-    pub reported: Report,
-    /// When it was sent.
+    /// Last report sent.
+    pub last_report: Report,
+    /// When it was sent; at first, when the agent started.
     pub reported_at: Millis,
-    /// Mean time of a run by priority, in milliseconds.
-    pub means: BTreeMap<u8, Millis>,
+    /// Moving mean of the run times by priority, in milliseconds.
+    pub mean_times: BTreeMap<u8, Millis>,
 }
 
 impl AgentState {
     /// State of an agent that starts at `now`.
     ///
-    /// It may have granted a lease just before a restart, so it waits for the
-    /// length of one.
-    pub fn new(me: InstanceId, incarnation: u64, now: Millis, knobs: AgentKnobs) -> Self {
+    /// It may have granted a lease just before a restart, so it grants nothing for the length of a
+    /// lease and its margin.
+    pub fn new(id: InstanceId, incarnation: u64, now: Millis, knobs: AgentKnobs) -> Self {
         let wait = knobs.lease_ms + knobs.margin_ms;
         Self {
             rules: Rules::default(),
             ready_at: now + wait,
             queue: JobQueue::default(),
             knobs,
-            me,
+            id,
             incarnation,
             brief: Brief::default(),
             seen_epoch: 0,
@@ -72,37 +72,37 @@
             routers: BTreeMap::new(),
             leaving_at: None,
             stopping: false,
-            reported: Report::default(),
+            last_report: Report::default(),
             reported_at: now,
-            means: BTreeMap::new(),
+            mean_times: BTreeMap::new(),
         }
     }
 
     /// The agent as others see it.
     pub fn as_peer(&self) -> Peer {
         Peer {
-            id: self.me.clone(),
+            id: self.id.clone(),
             incarnation: self.incarnation,
             role: PeerRole::Agent,
         }
     }
 
-    /// Whether the agent has been told to leave or to stop.
-    pub fn leaving(&self) -> bool {
+    /// Whether the agent has been ordered to leave or to shut down.
+    pub fn is_leaving(&self) -> bool {
         self.leaving_at.is_some()
     }
 
-    /// Whether new work may be handed to the endpoint at `now`.
+    /// Whether new requests may be handed to the endpoint at `now`.
     pub fn open(&self, now: Millis) -> bool {
         let Some(lead) = &self.lead else {
             return false;
         };
         let present = !self.rules.all_present || lead.all_present(now);
-        present && lead.all_ready() && !lead.draining()
+        present && lead.all_ready() && !lead.is_draining()
     }
 
-    /// Requests waiting or running.
-    pub fn busy(&self) -> usize {
+    /// Number of requests that wait or run.
+    pub fn job_count(&self) -> usize {
         self.queue.len() + self.running.len()
     }
 }
--- a/src/logic/agent/claims.rs
+++ b/src/logic/agent/claims.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated: what is remembered and what is told.
+//! Claimed requests, which may not be repeated: refusals and answers to queries about them.
 
 use super::{AgentState, OnceEntry, OnceState};
 use crate::logic::Effect;
@@ -16,7 +16,7 @@
     }
 }
 
-/// A refused attempt must not run when the same order arrives once more.
+/// Bars a refused attempt, so that it doesn't run when the same order arrives again.
 pub(super) fn bar_refused(state: &mut AgentState, now: Millis, order: &RunOrder) {
     let Some(once) = &order.once else {
         return;
@@ -24,7 +24,7 @@
     bar(state, now, once);
 }
 
-/// A router's question about a claimed key.
+/// A router's query about a claimed key.
 pub(super) struct Query {
     pub run: RunId,
     pub once: Once,
@@ -32,8 +32,8 @@
     pub bar: bool,
 }
 
-/// Answers a query. Where it says so, a key that never started is barred from starting.
-pub(super) fn queried(
+/// Answers a query; where it asks for that, a key that never started is barred from starting.
+pub(super) fn on_query(
     state: &mut AgentState,
     now: Millis,
     from: &InstanceId,
@@ -64,7 +64,7 @@
             Recall::NotRun
         }
         Some((attempt, _)) if attempt < query.once.attempt => Recall::Lost,
-        Some((_, OnceState::Active(run))) => attach(state, from, query.run, &run),
+        Some((_, OnceState::Active(run))) => add_watcher(state, from, query.run, &run),
         Some((
             _,
             OnceState::Done {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Bars every attempt up to this one, unless one is known to have started.
+/// Bars every attempt up to this one, unless one waits, runs or has run here.
 fn bar(state: &mut AgentState, now: Millis, once: &Once) {
     let before = match state.memory.get(&once.key) {
         None => 0,
@@ -96,8 +96,9 @@
     state.memory.put(once.key, entry);
 }
 
-/// Adds a watcher to an active run, so that its pieces reach the asking router too.
-fn attach(state: &mut AgentState, from: &InstanceId, asked: RunId, run: &RunId) -> Recall {
+/// Makes the querying router a watcher of a waiting or running request, so that it gets its
+/// pieces too.
+fn add_watcher(state: &mut AgentState, from: &InstanceId, query_run: RunId, run: &RunId) -> Recall {
     let waiting = state
         .queue
         .jobs_mut()
@@ -107,7 +108,7 @@
     let Some(job) = waiting.or(running) else {
         return Recall::Lost;
     };
-    let watcher = (from.clone(), asked);
+    let watcher = (from.clone(), query_run);
     if !job.watchers.contains(&watcher) {
         job.watchers.push(watcher);
     }
--- a/src/logic/agent/estimate.rs
+++ b/src/logic/agent/estimate.rs
@@ -1,30 +1,31 @@
-//! How long a request would wait and run here, from what has run before.
+//! Estimates how long a request waits and runs here, from the times of earlier runs.
 
 use super::AgentState;
 use crate::message::ClassLoad;
 use crate::types::Millis;
 
-/// Weight of the old mean against one new run time.
+/// Weight of the previous mean against one new run time.
 const MEAN_WEIGHT: u64 = 7;
 
-/// Counts the time of a run, pauses included.
-pub(super) fn count(state: &mut AgentState, priority: u8, took: Millis) {
-    let mean = state.means.entry(priority).or_insert(0);
+/// Adds the time of a run, pauses included, to the mean of its priority.
+pub(super) fn record_run_time(state: &mut AgentState, priority: u8, took: Millis) {
+    let mean = state.mean_times.entry(priority).or_insert(0);
     *mean = match *mean {
         0 => took.max(1),
         mean => (mean * MEAN_WEIGHT + took) / (MEAN_WEIGHT + 1),
     };
 }
 
-/// Mean time of a run of one priority; 0 before the first.
-pub(super) fn mean(state: &AgentState, priority: u8) -> Millis {
-    state.means.get(&priority).copied().unwrap_or(0)
+/// Mean time of a run of one priority, in milliseconds; 0 before the first.
+pub(super) fn mean_time(state: &AgentState, priority: u8) -> Millis {
+    state.mean_times.get(&priority).copied().unwrap_or(0)
 }
 
-/// Time until one more request of a priority would start.
+/// Expected time until one more request of a priority starts, in milliseconds.
 ///
-/// What it can pause doesn't count; slots kept for more urgent classes aren't its own.
-pub(super) fn wait(state: &AgentState, priority: u8) -> Millis {
+/// Runs that it can pause and less urgent waiting requests don't count. Slots reserved for more
+/// urgent classes aren't available to it.
+pub(super) fn expected_wait(state: &AgentState, priority: u8) -> Millis {
     let by_class = state.knobs.by_class;
     let ahead = |p: u8| !by_class || p <= priority;
     let blocks = |r: &&super::Running| ahead(r.job.priority) || !r.job.preempt;
@@ -35,9 +36,9 @@
     if count < slots {
         return 0;
     }
-    // A run that is under way is on average half done.
-    let running: u64 = running.map(|r| mean(state, r.job.priority) / 2).sum();
-    let waiting: u64 = waiting.map(|j| mean(state, j.priority)).sum();
+    // A run in progress is half done on average.
+    let running: u64 = running.map(|r| mean_time(state, r.job.priority) / 2).sum();
+    let waiting: u64 = waiting.map(|j| mean_time(state, j.priority)).sum();
     (running + waiting) / slots
 }
 
@@ -47,15 +48,15 @@
         return slots;
     }
     let classes = state.brief.classes.iter();
-    let kept: u32 = classes
+    let reserved: u32 = classes
         .filter(|c| c.priority < priority)
         .map(|c| c.reserved)
         .sum();
-    slots.saturating_sub(u64::from(kept)).max(1)
+    slots.saturating_sub(u64::from(reserved)).max(1)
 }
 
-/// Load of every class of the bundle.
-pub(super) fn loads(state: &AgentState) -> Vec<ClassLoad> {
+/// Load by priority, for each class of the bundle.
+pub(super) fn class_loads(state: &AgentState) -> Vec<ClassLoad> {
     let mut loads: Vec<_> = state
         .brief
         .classes
@@ -63,8 +64,8 @@
         .map(|c| ClassLoad {
             priority: c.priority,
             queued: state.queue.count(c.priority),
-            wait_ms: wait(state, c.priority),
-            mean_ms: mean(state, c.priority),
+            wait_ms: expected_wait(state, c.priority),
+            mean_ms: mean_time(state, c.priority),
         })
         .collect();
     loads.sort_by_key(|l| l.priority);
--- a/src/logic/agent/grant.rs
+++ b/src/logic/agent/grant.rs
@@ -3,7 +3,7 @@
 use crate::message::{LeaseAsk, Message};
 use crate::types::{GroupId, InstanceId, Millis};
 
-/// Presence that a member has granted to one epoch of one group.
+/// Presence that this agent, as a member, has granted to one epoch of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
     /// The group.
@@ -14,32 +14,32 @@
     pub leader: InstanceId,
     /// The leader's incarnation.
     pub incarnation: u64,
-    /// Nothing else is granted up to this time on the own clock.
+    /// No other epoch or leader gets a grant before this time on the own clock.
     pub until: Millis,
 }
 
-/// Answers a leader's request for presence.
-pub(super) fn asked(
+/// Answers a leader's request for a presence lease.
+pub(super) fn on_lease_request(
     state: &mut AgentState,
     now: Millis,
     from: &Peer,
-    ask: &LeaseAsk,
+    request: &LeaseAsk,
     out: &mut Vec<Effect>,
 ) {
-    let message = if consider(state, now, from, ask, out) {
+    let message = if try_grant(state, now, from, request, out) {
         let share = state.share.as_ref();
         Message::LeaseGrant {
             holder: from.incarnation,
-            epoch: ask.epoch,
-            round: ask.round,
-            ready: share.is_some_and(|s| s.ready(ask.epoch)),
-            failed: share.is_some_and(|s| s.failed(ask.epoch)),
-            leaving: state.leaving(),
+            epoch: request.epoch,
+            round: request.round,
+            ready: share.is_some_and(|s| s.is_ready(request.epoch)),
+            failed: share.is_some_and(|s| s.has_failed(request.epoch)),
+            leaving: state.is_leaving(),
             bundle: state.brief.number,
         }
     } else {
         Message::LeaseDeny {
-            epoch: ask.epoch,
+            epoch: request.epoch,
             seen: state.seen_epoch,
         }
     };
@@ -49,67 +49,67 @@
     });
 }
 
-/// Grants presence where the rules allow it, and says whether they did.
-pub(super) fn consider(
+/// Grants presence where the rules allow it; returns whether it was granted.
+pub(super) fn try_grant(
     state: &mut AgentState,
     now: Millis,
     from: &Peer,
-    ask: &LeaseAsk,
+    request: &LeaseAsk,
     out: &mut Vec<Effect>,
 ) -> bool {
-    let allowed = allowed(state, now, from, ask);
-    // A higher epoch proves that the record has moved on, so the older grant
-    // isn't renewed even while it keeps this one from being given.
-    state.seen_epoch = state.seen_epoch.max(ask.epoch);
+    let allowed = is_allowed(state, now, from, request);
+    // A higher epoch proves that the group's record has changed, so the older grant isn't renewed
+    // any more, even while it still prevents the new one.
+    state.seen_epoch = state.seen_epoch.max(request.epoch);
     if !allowed {
         return false;
     }
-    let fresh = state.grant.as_ref().map(|g| g.epoch) != Some(ask.epoch);
-    let until = now + ask.lease_ms + state.knobs.margin_ms;
+    let is_new = state.grant.as_ref().map(|g| g.epoch) != Some(request.epoch);
+    let until = now + request.lease_ms + state.knobs.margin_ms;
     state.grant = Some(Grant {
-        group: ask.group.clone(),
-        epoch: ask.epoch,
+        group: request.group.clone(),
+        epoch: request.epoch,
         leader: from.id.clone(),
         incarnation: from.incarnation,
         until,
     });
-    if fresh {
-        let note = Note::new(NoteCode::PresenceGranted)
-            .with("group", &ask.group)
-            .with("epoch", ask.epoch)
+    if is_new {
+        let event = Note::new(NoteCode::PresenceGranted)
+            .with("group", &request.group)
+            .with("epoch", request.epoch)
             .with("leader", &from.id);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
-    load::ensure(state, now, ask, until, out);
+    load::ensure_loaded(state, now, request, until, out);
     true
 }
 
-fn allowed(state: &AgentState, now: Millis, from: &Peer, ask: &LeaseAsk) -> bool {
+fn is_allowed(state: &AgentState, now: Millis, from: &Peer, request: &LeaseAsk) -> bool {
     if state.rules.start_wait && now < state.ready_at {
         return false;
     }
-    if ask.lease_ms > state.knobs.lease_ms {
+    if request.lease_ms > state.knobs.lease_ms {
         return false;
     }
-    if ask.epoch < state.seen_epoch {
+    if request.epoch < state.seen_epoch {
         return false;
     }
     let Some(grant) = &state.grant else {
         return true;
     };
-    let same = grant.group == ask.group && grant.epoch == ask.epoch;
-    let holder = held_by(grant, from);
-    // A leader asks under a higher epoch only after it has given up the lower one.
-    let moved_on = holder && ask.epoch > grant.epoch;
-    (same && holder) || moved_on || now >= grant.until || !state.rules.exclusive_grant
+    let is_same = grant.group == request.group && grant.epoch == request.epoch;
+    let is_holder = is_held_by(grant, from);
+    // A leader requests a lease under a higher epoch only after it has ended the lower one.
+    let is_successor = is_holder && request.epoch > grant.epoch;
+    (is_same && is_holder) || is_successor || now >= grant.until || !state.rules.exclusive_grant
 }
 
-fn held_by(grant: &Grant, peer: &Peer) -> bool {
+fn is_held_by(grant: &Grant, peer: &Peer) -> bool {
     grant.leader == peer.id && grant.incarnation == peer.incarnation
 }
 
-/// Takes back a grant that its leader has returned.
-pub(super) fn returned(
+/// Ends a grant that its leader has returned.
+pub(super) fn on_lease_returned(
     state: &mut AgentState,
     from: &Peer,
     group: &GroupId,
@@ -119,17 +119,17 @@
     let matches = state
         .grant
         .as_ref()
-        .is_some_and(|g| held_by(g, from) && &g.group == group && g.epoch <= epoch);
+        .is_some_and(|g| is_held_by(g, from) && &g.group == group && g.epoch <= epoch);
     if matches {
         state.grant = None;
-        let note = Note::new(NoteCode::PresenceReturned)
+        let event = Note::new(NoteCode::PresenceReturned)
             .with("group", group)
             .with("epoch", epoch);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
 }
 
-/// Forgets a grant that has run out.
+/// Removes a grant that has expired.
 pub(super) fn expire(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
     let Some(grant) = &state.grant else {
         return;
@@ -137,9 +137,9 @@
     if now < grant.until {
         return;
     }
-    let note = Note::new(NoteCode::PresenceLapsed)
+    let event = Note::new(NoteCode::PresenceLapsed)
         .with("group", &grant.group)
         .with("epoch", grant.epoch);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     state.grant = None;
 }
--- a/src/logic/agent/lead.rs
+++ b/src/logic/agent/lead.rs
@@ -5,56 +5,56 @@
 use crate::message::{LeaseAsk, Message, Refusal};
 use crate::types::{GroupId, GroupRecord, InstanceId, Millis, Phase};
 
-/// A member's lease as its leader counts it.
+/// A member's presence lease as its leader records it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Hold {
     /// Held before this time on the leader's clock.
     pub until: Millis,
     /// Whether the member's endpoint has loaded.
     pub ready: bool,
-    /// Whether it failed to.
+    /// Whether it has failed to load.
     pub failed: bool,
     /// Whether the member is leaving.
     pub leaving: bool,
 }
 
-/// A group that is led from here.
+/// A group that this agent leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lead {
     /// The group's record.
     pub record: GroupRecord,
-    /// Round asked last.
+    /// Number of the last round of lease requests.
     pub round: u64,
-    /// When each round that can still be answered was asked.
-    pub asked: BTreeMap<u64, Millis>,
+    /// When each round was sent whose grants can still count.
+    pub round_times: BTreeMap<u64, Millis>,
     /// Leases of the members.
-    pub holds: BTreeMap<InstanceId, Hold>,
+    pub leases: BTreeMap<InstanceId, Hold>,
     /// When the next round is due.
-    pub next_ask: Millis,
+    pub next_round: Millis,
     /// When a member was first seen leaving.
     pub leaving_at: Option<Millis>,
-    /// Whether new work is refused for good.
-    pub drain: bool,
-    /// Whether the group is given up once it is idle.
+    /// Whether the group drains: new requests are refused from now on.
+    pub draining: bool,
+    /// Whether a router has ordered the release of the group; the lead ends once it is idle.
     pub released: bool,
-    /// Whether the group was open at the last look.
+    /// Whether the group was open at the last tick.
     pub was_open: bool,
 }
 
 impl Lead {
     fn new(record: GroupRecord, now: Millis) -> Self {
-        let holds = record
+        let leases = record
             .members
             .iter()
             .map(|m| (m.instance.clone(), Hold::default()))
             .collect();
         Self {
-            drain: record.phase == Phase::Draining,
+            draining: record.phase == Phase::Draining,
             record,
             round: 0,
-            asked: BTreeMap::new(),
-            holds,
-            next_ask: now,
+            round_times: BTreeMap::new(),
+            leases,
+            next_round: now,
             leaving_at: None,
             released: false,
             was_open: false,
@@ -63,33 +63,34 @@
 
     /// Whether every member's lease is held at `now`.
     pub fn all_present(&self, now: Millis) -> bool {
-        self.holds.values().all(|h| now < h.until)
+        self.leases.values().all(|h| now < h.until)
     }
 
     /// Whether every member has loaded.
     pub fn all_ready(&self) -> bool {
-        self.holds.values().all(|h| h.ready)
+        self.leases.values().all(|h| h.ready)
     }
 
-    /// Whether new work is refused for good.
-    pub fn draining(&self) -> bool {
-        self.drain
+    /// Whether the group drains.
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
-    /// The time before which work may be handed over on what is known now.
+    /// The time up to which every member's lease is held; nothing is handed over after it.
     pub fn valid_until(&self) -> Millis {
-        self.holds.values().map(|h| h.until).min().unwrap_or(0)
+        self.leases.values().map(|h| h.until).min().unwrap_or(0)
     }
 }
 
-/// Takes up the lead of a group, or a newer form of it.
-pub(super) fn assigned(
+/// Takes the lead of a group under a new epoch. Under the epoch that is led already, only the
+/// phase is applied.
+pub(super) fn on_assign(
     state: &mut AgentState,
     now: Millis,
     record: GroupRecord,
     out: &mut Vec<Effect>,
 ) {
-    if record.members.is_empty() || record.leader().instance != state.me {
+    if record.members.is_empty() || record.leader().instance != state.id {
         return;
     }
     if let Some(lead) = &mut state.lead {
@@ -104,49 +105,49 @@
     if record.epoch <= state.seen_epoch {
         return;
     }
-    give_up(state, Some(&record), out);
+    end_lead(state, Some(&record), out);
     state.seen_epoch = record.epoch;
-    let note = Note::new(NoteCode::LeadTaken)
+    let event = Note::new(NoteCode::LeadTaken)
         .with("group", &record.id)
         .with("epoch", record.epoch)
         .with("members", record.members.len());
-    out.push(Effect::Note(note));
-    for member in record.members.iter().filter(|m| m.instance != state.me) {
+    out.push(Effect::Note(event));
+    for member in record.members.iter().filter(|m| m.instance != state.id) {
         out.push(Effect::Dial {
             to: member.instance.clone(),
             addr: member.addr,
         });
     }
     state.lead = Some(Lead::new(record, now));
-    ask_round(state, now, out);
+    request_leases(state, now, out);
 }
 
-/// Asks every member for its presence, when that is due.
-pub(super) fn ask_round(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+/// Requests a presence lease from every member, when a round is due.
+pub(super) fn request_leases(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
     let Some(lead) = &mut state.lead else {
         return;
     };
-    if now < lead.next_ask {
+    if now < lead.next_round {
         return;
     }
     lead.round += 1;
-    lead.next_ask = now + state.knobs.ask_ms;
+    lead.next_round = now + state.knobs.ask_ms;
     let oldest = now.saturating_sub(state.knobs.lease_ms);
-    lead.asked.retain(|_, at| *at >= oldest);
-    lead.asked.insert(lead.round, now);
-    let asks: Vec<_> = (0..lead.record.members.len())
+    lead.round_times.retain(|_, at| *at >= oldest);
+    lead.round_times.insert(lead.round, now);
+    let requests: Vec<_> = (0..lead.record.members.len())
         .map(|rank| {
             (
                 lead.record.members[rank].instance.clone(),
-                ask_for(lead, rank, state.knobs.lease_ms),
+                lease_request(lead, rank, state.knobs.lease_ms),
             )
         })
         .collect();
-    for (member, ask) in asks {
-        if member == state.me {
-            ask_self(state, now, &ask, out);
+    for (member, request) in requests {
+        if member == state.id {
+            request_own_lease(state, now, &request, out);
         } else {
-            let message = Message::LeaseAsk(Box::new(ask));
+            let message = Message::LeaseAsk(Box::new(request));
             out.push(Effect::Send {
                 to: member,
                 message,
@@ -155,7 +156,7 @@
     }
 }
 
-fn ask_for(lead: &Lead, rank: usize, lease_ms: Millis) -> LeaseAsk {
+fn lease_request(lead: &Lead, rank: usize, lease_ms: Millis) -> LeaseAsk {
     let record = &lead.record;
     LeaseAsk {
         group: record.id.clone(),
@@ -172,32 +173,37 @@
     }
 }
 
-/// The leader is a member too and grants its own presence by the same rules.
-fn ask_self(state: &mut AgentState, now: Millis, ask: &LeaseAsk, out: &mut Vec<Effect>) {
+/// The leader is a member too, and grants its own presence by the same rules.
+fn request_own_lease(
+    state: &mut AgentState,
+    now: Millis,
+    request: &LeaseAsk,
+    out: &mut Vec<Effect>,
+) {
     let me = state.as_peer();
-    if !grant::consider(state, now, &me, ask, out) {
+    if !grant::try_grant(state, now, &me, request, out) {
         return;
     }
     let share = state.share.as_ref();
-    let hold = Hold {
+    let lease = Hold {
         until: 0,
-        ready: share.is_some_and(|s| s.ready(ask.epoch)),
-        failed: share.is_some_and(|s| s.failed(ask.epoch)),
-        leaving: state.leaving(),
+        ready: share.is_some_and(|s| s.is_ready(request.epoch)),
+        failed: share.is_some_and(|s| s.has_failed(request.epoch)),
+        leaving: state.is_leaving(),
     };
-    granted(state, now, &me.id, ask.epoch, ask.round, hold);
+    on_lease_granted(state, now, &me.id, request.epoch, request.round, lease);
 }
 
-/// Counts a member's grant. `hold.until` is worked out here.
-pub(super) fn granted(
+/// Records a member's grant; `until` of its lease is set here.
+pub(super) fn on_lease_granted(
     state: &mut AgentState,
     now: Millis,
     from: &InstanceId,
     epoch: u64,
     round: u64,
-    hold: Hold,
+    lease: Hold,
 ) {
-    let early = state.rules.early_clock;
+    let from_request = state.rules.early_clock;
     let lease_ms = state.knobs.lease_ms;
     let Some(lead) = &mut state.lead else {
         return;
@@ -205,22 +211,22 @@
     if lead.record.epoch != epoch {
         return;
     }
-    let Some(asked_at) = lead.asked.get(&round).copied() else {
+    let Some(sent_at) = lead.round_times.get(&round).copied() else {
         return;
     };
-    let Some(held) = lead.holds.get_mut(from) else {
+    let Some(held) = lead.leases.get_mut(from) else {
         return;
     };
-    let start = if early { asked_at } else { now };
+    let start = if from_request { sent_at } else { now };
     let until = held.until.max(start + lease_ms);
-    *held = Hold { until, ..hold };
-    if hold.leaving && lead.leaving_at.is_none() {
+    *held = Hold { until, ..lease };
+    if lease.leaving && lead.leaving_at.is_none() {
         lead.leaving_at = Some(now);
     }
 }
 
-/// A member has seen a higher epoch: this group's record is out of date.
-pub(super) fn denied(
+/// Logs that a member has seen a higher epoch, so that this group's record is outdated.
+pub(super) fn on_lease_denied(
     state: &mut AgentState,
     from: &InstanceId,
     epoch: u64,
@@ -231,17 +237,22 @@
         return;
     };
     if lead.record.epoch == epoch && seen > epoch {
-        let note = Note::new(NoteCode::PresenceDenied)
+        let event = Note::new(NoteCode::PresenceDenied)
             .with("group", &lead.record.id)
             .with("epoch", epoch)
             .with("member", from)
             .with("seen", seen);
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
 }
 
-/// Marks the group as released by its record and drains it.
-pub(super) fn released(state: &mut AgentState, group: &GroupId, epoch: u64, out: &mut Vec<Effect>) {
+/// Handles a router's order to release the group: it drains, and the lead ends once it is idle.
+pub(super) fn on_release(
+    state: &mut AgentState,
+    group: &GroupId,
+    epoch: u64,
+    out: &mut Vec<Effect>,
+) {
     let Some(lead) = &mut state.lead else {
         return;
     };
@@ -251,48 +262,48 @@
     }
 }
 
-/// Refuses new work for good and hands back what waits.
+/// Refuses new requests from now on, and those that wait.
 pub(super) fn drain(state: &mut AgentState, out: &mut Vec<Effect>) {
     let Some(lead) = &mut state.lead else {
         return;
     };
-    if lead.drain {
+    if lead.draining {
         return;
     }
-    lead.drain = true;
-    let note = Note::new(NoteCode::Draining).with("group", &lead.record.id);
-    out.push(Effect::Note(note));
+    lead.draining = true;
+    let event = Note::new(NoteCode::Draining).with("group", &lead.record.id);
+    out.push(Effect::Note(event));
     runs::refuse_waiting(state, &Refusal::Draining, out);
 }
 
-/// Gives the lead up: what runs is broken, what waits is refused, grants go back.
+/// Ends the lead: waiting requests are refused, running ones are cancelled with an unknown outcome,
+/// and the members' grants are returned.
 ///
-/// Members that also belong to `next` keep their grant; the leader's next
-/// request replaces it.
-pub(super) fn give_up(state: &mut AgentState, next: Option<&GroupRecord>, out: &mut Vec<Effect>) {
+/// Members that also belong to `next` keep their grant; the leader's next request replaces it.
+pub(super) fn end_lead(state: &mut AgentState, next: Option<&GroupRecord>, out: &mut Vec<Effect>) {
     let Some(lead) = state.lead.take() else {
         return;
     };
     runs::refuse_waiting(state, &Refusal::Epoch, out);
-    runs::break_running(state, out);
-    let note = Note::new(NoteCode::LeadEnded)
+    runs::cancel_running(state, out);
+    let event = Note::new(NoteCode::LeadEnded)
         .with("group", &lead.record.id)
         .with("epoch", lead.record.epoch);
-    out.push(Effect::Note(note));
+    out.push(Effect::Note(event));
     for member in &lead.record.members {
         if next.is_some_and(|n| n.has(&member.instance)) {
             continue;
         }
-        return_to(state, &lead, &member.instance, out);
+        return_lease(state, &lead, &member.instance, out);
     }
 }
 
-fn return_to(state: &mut AgentState, lead: &Lead, member: &InstanceId, out: &mut Vec<Effect>) {
+fn return_lease(state: &mut AgentState, lead: &Lead, member: &InstanceId, out: &mut Vec<Effect>) {
     let group = lead.record.id.clone();
     let epoch = lead.record.epoch;
-    if *member == state.me {
+    if *member == state.id {
         let me = state.as_peer();
-        grant::returned(state, &me, &group, epoch, out);
+        grant::on_lease_returned(state, &me, &group, epoch, out);
         return;
     }
     out.push(Effect::Send {
@@ -302,8 +313,8 @@
     out.push(Effect::Hangup(member.clone()));
 }
 
-/// Whether the record has moved on and the own presence has run out.
-fn overtaken(state: &AgentState) -> bool {
+/// Whether a higher epoch has been seen and the own grant to the epoch that is led is gone.
+fn is_superseded(state: &AgentState) -> bool {
     let Some(lead) = &state.lead else {
         return false;
     };
@@ -312,15 +323,16 @@
     state.seen_epoch > epoch && !granted
 }
 
-/// Looks after the group as time passes: drains for leaving members, ends when idle.
-pub(super) fn tend(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
-    if overtaken(state) {
-        give_up(state, None, out);
+/// Renews the leases, drains for leaving members, logs when the group opens or closes, and ends
+/// the lead when it is superseded or, after a drain, idle.
+pub(super) fn on_tick(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+    if is_superseded(state) {
+        end_lead(state, None, out);
     }
-    ask_round(state, now, out);
-    leave::tend_group(state, now, out);
+    request_leases(state, now, out);
+    leave::drain_if_due(state, now, out);
     let open = state.open(now);
-    let idle = state.busy() == 0;
+    let idle = state.job_count() == 0;
     let Some(lead) = &mut state.lead else {
         return;
     };
@@ -332,20 +344,20 @@
             NoteCode::GroupClosed
         };
         let missing: Vec<_> = lead
-            .holds
+            .leases
             .iter()
             .filter(|(_, h)| now >= h.until)
             .map(|(i, _)| i.to_string())
             .collect();
-        let note = Note::new(code)
+        let event = Note::new(code)
             .with("group", &lead.record.id)
             .with("epoch", lead.record.epoch)
             .with("missing", missing.join(","));
-        out.push(Effect::Note(note));
+        out.push(Effect::Note(event));
     }
     let planned = lead.record.phase == Phase::Draining;
     let ends = planned || lead.released || lead.leaving_at.is_some();
-    if lead.drain && ends && idle {
-        give_up(state, None, out);
+    if lead.draining && ends && idle {
+        end_lead(state, None, out);
     }
 }
--- a/src/logic/agent/leave.rs
+++ b/src/logic/agent/leave.rs
@@ -1,4 +1,5 @@
-//! Leaving in order: serve on while a successor forms, drain, give back, exit.
+//! Orderly leave: the group serves on while a successor forms, drains and returns its grants;
+//! then the process exits.
 
 use super::{lead, AgentState};
 use crate::logic::{Effect, Note, NoteCode};
@@ -16,8 +17,8 @@
     }
 }
 
-/// Drains the led group a bounded time after a member was seen leaving.
-pub(super) fn tend_group(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+/// Drains the led group once `leave_ms` has passed since a member was first seen leaving.
+pub(super) fn drain_if_due(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
     let leave_ms = state.knobs.leave_ms;
     let due = state
         .lead
@@ -29,9 +30,9 @@
     }
 }
 
-/// Ends the process once it has nothing left to do.
+/// Ends a process that shuts down, once it leads no group, grants nothing and has no request.
 pub(super) fn exit_when_done(state: &AgentState, out: &mut Vec<Effect>) {
-    let done = state.lead.is_none() && state.grant.is_none() && state.busy() == 0;
+    let done = state.lead.is_none() && state.grant.is_none() && state.job_count() == 0;
     if state.stopping && done {
         out.push(Effect::Exit);
     }
--- a/src/logic/agent/load.rs
+++ b/src/logic/agent/load.rs
@@ -3,12 +3,12 @@
 use crate::message::LeaseAsk;
 use crate::types::Millis;
 
-/// What the own endpoint holds for a group.
+/// The load order of the own endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Share {
-    /// Epoch under which it was ordered.
+    /// Epoch under which the load was ordered.
     pub epoch: u64,
-    /// How far it is.
+    /// Progress.
     pub state: ShareState,
 }
 
@@ -19,58 +19,59 @@
     Loading,
     /// Loaded.
     Ready,
-    /// Failed; tried again at this time.
+    /// Failed; ordered again from this time on.
     Failed(Millis),
 }
 
 impl Share {
     /// Whether the endpoint has loaded for an epoch.
-    pub fn ready(&self, epoch: u64) -> bool {
+    pub fn is_ready(&self, epoch: u64) -> bool {
         self.epoch == epoch && self.state == ShareState::Ready
     }
 
     /// Whether the endpoint has failed to load for an epoch.
-    pub fn failed(&self, epoch: u64) -> bool {
+    pub fn has_failed(&self, epoch: u64) -> bool {
         self.epoch == epoch && matches!(self.state, ShareState::Failed(_))
     }
 }
 
-/// Orders the endpoint to load for an epoch, unless that is done or under way.
-pub(super) fn ensure(
+/// Orders the endpoint to load for an epoch, unless it has loaded, is loading or has failed too
+/// recently.
+pub(super) fn ensure_loaded(
     state: &mut AgentState,
     now: Millis,
-    ask: &LeaseAsk,
+    request: &LeaseAsk,
     valid_until: Millis,
     out: &mut Vec<Effect>,
 ) {
-    let wanted = match &state.share {
-        Some(share) if share.epoch == ask.epoch => {
+    let is_due = match &state.share {
+        Some(share) if share.epoch == request.epoch => {
             matches!(share.state, ShareState::Failed(at) if now >= at)
         }
         _ => true,
     };
-    if !wanted {
+    if !is_due {
         return;
     }
     state.share = Some(Share {
-        epoch: ask.epoch,
+        epoch: request.epoch,
         state: ShareState::Loading,
     });
     out.push(Effect::Endpoint(EndpointCall::Load(Box::new(LoadOrder {
-        epoch: ask.epoch,
-        model: ask.model.clone(),
-        version: ask.version.clone(),
-        kind: ask.kind,
-        role: ask.role,
-        adapters: ask.adapters.clone(),
-        rank: ask.rank,
-        size: ask.size,
+        epoch: request.epoch,
+        model: request.model.clone(),
+        version: request.version.clone(),
+        kind: request.kind,
+        role: request.role,
+        adapters: request.adapters.clone(),
+        rank: request.rank,
+        size: request.size,
         valid_until,
     }))));
 }
 
-/// Notes the end of a load.
-pub(super) fn ended(
+/// Records the end of a load.
+pub(super) fn on_load_end(
     state: &mut AgentState,
     now: Millis,
     epoch: u64,
--- a/src/logic/agent/memory.rs
+++ b/src/logic/agent/memory.rs
@@ -4,18 +4,20 @@
 use crate::message::ClaimKey;
 use crate::types::Millis;
 
-/// Keys of requests that may not be repeated, as long as their claims live.
+/// Claimed keys of requests that may not be repeated, with what is known of each.
+///
+/// An entry is kept at least until its claim has expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OnceMemory {
     entries: BTreeMap<ClaimKey, OnceEntry>,
-    /// Keys whose answers are kept, oldest first.
-    kept: VecDeque<ClaimKey>,
-    /// Bytes of those answers.
-    bytes: usize,
+    /// Keys whose answers are kept, the oldest first.
+    answered: VecDeque<ClaimKey>,
+    /// Size of those answers, in bytes.
+    answer_bytes: usize,
 }
 
 impl OnceMemory {
-    /// Looks a key up.
+    /// What is known of a key.
     pub fn get(&self, key: &ClaimKey) -> Option<&OnceEntry> {
         self.entries.get(key)
     }
@@ -32,47 +34,47 @@
         }
     }
 
-    /// Stores the end of an active key, and drops the oldest answers beyond `limit` bytes.
+    /// Stores the end of an active key, and evicts the oldest answers beyond `limit` bytes.
     ///
-    /// A dropped answer leaves the knowledge that the request has run.
-    pub fn done(&mut self, key: &ClaimKey, state: OnceState, limit: usize) {
+    /// The key of an evicted answer stays, so that the request isn't run again.
+    pub fn finish(&mut self, key: &ClaimKey, state: OnceState, limit: usize) {
         if let OnceState::Done {
             text: Some(text), ..
         } = &state
         {
-            self.kept.push_back(*key);
-            self.bytes += text.len();
+            self.answered.push_back(*key);
+            self.answer_bytes += text.len();
         }
         self.set(key, state);
-        while self.bytes > limit {
-            let Some(oldest) = self.kept.pop_front() else {
+        while self.answer_bytes > limit {
+            let Some(oldest) = self.answered.pop_front() else {
                 return;
             };
-            self.drop_answer(&oldest);
+            self.evict_answer(&oldest);
         }
     }
 
-    fn drop_answer(&mut self, key: &ClaimKey) {
+    fn evict_answer(&mut self, key: &ClaimKey) {
         let state = self.entries.get_mut(key).map(|e| &mut e.state);
         if let Some(OnceState::Done { text, .. }) = state {
-            self.bytes -= text.take().map_or(0, |t| t.len());
+            self.answer_bytes -= text.take().map_or(0, |t| t.len());
         }
     }
 
-    /// Drops entries whose claims no longer exist.
+    /// Removes expired entries, except those of requests that wait or run.
     pub fn expire(&mut self, now: Millis) {
-        let kept = |e: &OnceEntry| e.until > now || matches!(e.state, OnceState::Active(_));
-        let over: Vec<_> = self
-            .kept
+        let is_kept = |e: &OnceEntry| e.until > now || matches!(e.state, OnceState::Active(_));
+        let expired: Vec<_> = self
+            .answered
             .iter()
-            .take_while(|k| !self.entries.get(k).is_some_and(kept))
+            .take_while(|k| !self.entries.get(k).is_some_and(is_kept))
             .copied()
             .collect();
-        for key in over {
-            self.kept.pop_front();
-            self.drop_answer(&key);
+        for key in expired {
+            self.answered.pop_front();
+            self.evict_answer(&key);
         }
-        self.entries.retain(|_, e| kept(e));
+        self.entries.retain(|_, e| is_kept(e));
     }
 
     /// Number of keys.
--- a/src/logic/agent/mod.rs
+++ b/src/logic/agent/mod.rs
@@ -1,8 +1,8 @@
 //! Decisions of an agent, the process beside one endpoint.
 //!
-//! The agent is the only way to its endpoint. It grants its presence to one
-//! group at a time, leads the group when it is member 0, queues requests by
-//! class, remembers requests that may not be repeated and leaves in order.
+//! All requests to an endpoint go through its agent. The agent grants its presence to one group
+//! at a time, leads the group when it is member 0, queues requests by class, remembers requests
+//! that may not be repeated, and drains before it leaves.
 
 mod admission;
 mod agent_knobs;
--- a/src/logic/agent/once_entry.rs
+++ b/src/logic/agent/once_entry.rs
@@ -4,10 +4,10 @@
 /// Entry of [`OnceMemory`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OnceEntry {
-    /// Highest claim attempt this entry speaks for.
+    /// Highest attempt of the claim that this entry covers.
     pub attempt: u32,
     /// What is known.
     pub state: OnceState,
-    /// Forgotten at this time; the claim itself is gone by then.
+    /// When the entry expires; the claim itself has expired by then.
     pub until: Millis,
 }
--- a/src/logic/agent/pump.rs
+++ b/src/logic/agent/pump.rs
@@ -4,44 +4,44 @@
 use crate::logic::{Effect, EndpointCall, StartOrder};
 use crate::types::Millis;
 
-/// Starts what may start, and pauses what has to make room.
-pub(super) fn pump(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+/// Starts waiting requests while slots are free for them, then pauses a run for the next one.
+pub(super) fn start_waiting(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
     if !state.open(now) {
         return;
     }
     while let Some(index) = state.queue.next_index(state.knobs.by_class) {
         let priority = state.queue.jobs()[index].priority;
-        if !slot_free(state, priority) {
-            make_room(state, priority, out);
+        if !has_free_slot(state, priority) {
+            pause_for(state, priority, out);
             return;
         }
-        let job = state.queue.start(index);
-        start(state, now, job, out);
+        let job = state.queue.dequeue(index);
+        start_job(state, now, job, out);
     }
 }
 
 /// Whether a request of this priority may take a slot now.
 ///
-/// Slots reserved for more urgent classes and not in use by them stay free.
-fn slot_free(state: &AgentState, priority: u8) -> bool {
+/// Slots that are reserved for more urgent classes, and not in use by them, stay free.
+fn has_free_slot(state: &AgentState, priority: u8) -> bool {
     let free = (state.knobs.slots as usize).saturating_sub(state.running.len());
     if !state.knobs.by_class {
         return free > 0;
     }
-    let kept: usize = state
+    let reserved: usize = state
         .brief
         .classes
         .iter()
         .filter(|c| c.priority < priority)
         .map(|c| {
-            let used = running_at(state, c.priority);
+            let used = running_count(state, c.priority);
             (c.reserved as usize).saturating_sub(used)
         })
         .sum();
-    free > kept
+    free > reserved
 }
 
-fn running_at(state: &AgentState, priority: u8) -> usize {
+fn running_count(state: &AgentState, priority: u8) -> usize {
     state
         .running
         .values()
@@ -49,38 +49,44 @@
         .count()
 }
 
-/// Pauses the youngest run of the least urgent class that may be paused.
-fn make_room(state: &mut AgentState, priority: u8, out: &mut Vec<Effect>) {
+/// Pauses the most recently started run of the least urgent class that may be paused.
+///
+/// No more runs are stopped at a time than requests of this or a higher urgency wait.
+fn pause_for(state: &mut AgentState, priority: u8, out: &mut Vec<Effect>) {
     if !state.knobs.by_class {
         return;
     }
-    let wanting = state
+    let waiting = state
         .queue
         .jobs()
         .iter()
         .filter(|j| j.priority <= priority)
         .count();
-    let pausing = state.running.values().filter(|r| r.stop.is_some()).count();
-    if pausing >= wanting {
+    let stopping = state
+        .running
+        .values()
+        .filter(|r| r.stop_reason.is_some())
+        .count();
+    if stopping >= waiting {
         return;
     }
-    let victim = state
+    let youngest = state
         .running
         .iter()
-        .filter(|(_, r)| r.job.preempt && r.stop.is_none() && r.job.priority > priority)
-        .max_by_key(|(_, r)| (r.job.priority, r.since))
+        .filter(|(_, r)| r.job.preempt && r.stop_reason.is_none() && r.job.priority > priority)
+        .max_by_key(|(_, r)| (r.job.priority, r.started_at))
         .map(|(run, _)| *run);
-    let Some(run) = victim else {
+    let Some(run) = youngest else {
         return;
     };
     if let Some(running) = state.running.get_mut(&run) {
-        running.stop = Some(StopReason::Paused);
+        running.stop_reason = Some(StopReason::Paused);
         let epoch = running.epoch;
         out.push(Effect::Endpoint(EndpointCall::Cancel { run, epoch }));
     }
 }
 
-fn start(state: &mut AgentState, now: Millis, mut job: Job, out: &mut Vec<Effect>) {
+fn start_job(state: &mut AgentState, now: Millis, mut job: Job, out: &mut Vec<Effect>) {
     let Some(lead) = &state.lead else {
         return;
     };
@@ -108,8 +114,8 @@
     let running = Running {
         job,
         epoch,
-        since: now,
-        stop: None,
+        started_at: now,
+        stop_reason: None,
     };
     state.running.insert(run, running);
 }
--- a/src/logic/agent/queue.rs
+++ b/src/logic/agent/queue.rs
@@ -3,18 +3,21 @@
 
 use super::Job;
 
-/// Scale of virtual time, so that shares divide without loss.
+/// Virtual time that a start costs an account with a share of 1; large, so that dividing it by a
+/// share loses little.
 const VIRTUAL_UNIT: u64 = 1_000_000;
 
-/// Waiting requests: strict order between priorities, fair shares inside one.
+/// Waiting requests: strictly by priority, and by fair shares of the accounts within one priority.
 ///
-/// Fairness is start-time fair queueing: each start moves the account's
-/// virtual time on by one unit over its share, and the smallest goes first.
+/// This is start-time fair queueing: each start advances the account's virtual time by
+/// `VIRTUAL_UNIT` divided by its share, and the account with the smallest virtual time goes first.
+/// An account that has been idle starts at the virtual time at which the last request of the
+/// priority was started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct JobQueue {
     jobs: Vec<Job>,
-    used: BTreeMap<(u8, Arc<str>), u64>,
-    floor: BTreeMap<u8, u64>,
+    account_times: BTreeMap<(u8, Arc<str>), u64>,
+    priority_times: BTreeMap<u8, u64>,
 }
 
 impl JobQueue {
@@ -28,7 +31,7 @@
         self.jobs.is_empty()
     }
 
-    /// Waiting requests in order of arrival.
+    /// Waiting requests in order of arrival, paused ones first.
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
     }
@@ -46,19 +49,19 @@
 
     /// Appends a request.
     pub fn push(&mut self, job: Job) {
-        let floor = self.floor.get(&job.priority).copied().unwrap_or(0);
+        let priority_time = self.priority_times.get(&job.priority).copied().unwrap_or(0);
         let key = (job.priority, job.order.account.clone());
-        let used = self.used.entry(key).or_insert(floor);
-        *used = (*used).max(floor);
+        let account_time = self.account_times.entry(key).or_insert(priority_time);
+        *account_time = (*account_time).max(priority_time);
         self.jobs.push(job);
     }
 
-    /// Puts a paused request back in front of its class.
+    /// Puts a paused request back, at the front of the order of arrival.
     pub fn push_front(&mut self, job: Job) {
         self.jobs.insert(0, job);
     }
 
-    /// Index of the request to start next: by class and share, or by arrival.
+    /// Index of the request to start next: by priority and share, or by arrival.
     pub fn next_index(&self, by_class: bool) -> Option<usize> {
         if !by_class {
             return (!self.jobs.is_empty()).then_some(0);
@@ -66,28 +69,32 @@
         (0..self.jobs.len()).min_by_key(|i| {
             let job = &self.jobs[*i];
             let key = (job.priority, job.order.account.clone());
-            (job.priority, self.used.get(&key).copied().unwrap_or(0), *i)
+            (
+                job.priority,
+                self.account_times.get(&key).copied().unwrap_or(0),
+                *i,
+            )
         })
     }
 
-    /// Takes a request out to start it and charges its account.
-    pub fn start(&mut self, index: usize) -> Job {
+    /// Removes a request to start it, and charges its account.
+    pub fn dequeue(&mut self, index: usize) -> Job {
         let job = self.jobs.remove(index);
         let key = (job.priority, job.order.account.clone());
-        let used = self.used.entry(key).or_insert(0);
-        self.floor.insert(job.priority, *used);
-        *used += VIRTUAL_UNIT / u64::from(job.order.share.max(1));
+        let account_time = self.account_times.entry(key).or_insert(0);
+        self.priority_times.insert(job.priority, *account_time);
+        *account_time += VIRTUAL_UNIT / u64::from(job.order.share.max(1));
         job
     }
 
-    /// Takes out every request for which `wanted` holds.
-    pub fn take(&mut self, wanted: impl Fn(&Job) -> bool) -> Vec<Job> {
-        let (taken, kept) = self.jobs.drain(..).partition(|j| wanted(j));
+    /// Removes and returns every request for which `wanted` holds.
+    pub fn remove_matching(&mut self, wanted: impl Fn(&Job) -> bool) -> Vec<Job> {
+        let (removed, kept) = self.jobs.drain(..).partition(|j| wanted(j));
         self.jobs = kept;
         if self.jobs.is_empty() {
-            self.used.clear();
-            self.floor.clear();
+            self.account_times.clear();
+            self.priority_times.clear();
         }
-        taken
+        removed
     }
 }
--- a/src/logic/agent/runs.rs
+++ b/src/logic/agent/runs.rs
@@ -1,16 +1,16 @@
-//! Runs and their ends: pieces, results, refusals, cancels.
+//! Runs at the endpoint and the ends of requests: pieces, results, refusals, cancellations.
 
 use super::{estimate, AgentState, Job, OnceState};
 use crate::logic::{Effect, EndpointCall, RunResult};
 use crate::message::{AttemptEnd, Message, Refusal, RunId};
 use crate::types::{InstanceId, Millis};
 
-/// Why a running request was told to stop.
+/// Why a running request was cancelled at the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StopReason {
-    /// A more urgent one needs its slot; it goes back to the queue.
+    /// A more urgent request needs its slot; it goes back to the queue.
     Paused,
-    /// Nobody waits for it any more.
+    /// No router waits for it any more.
     Unwanted,
 }
 
@@ -19,21 +19,21 @@
 pub struct Running {
     /// The request.
     pub job: Job,
-    /// Fence it runs under.
+    /// Epoch of the group, the fence of the order.
     pub epoch: u64,
     /// When it was handed over.
-    pub since: Millis,
-    /// Set once it was told to stop.
-    pub stop: Option<StopReason>,
+    pub started_at: Millis,
+    /// Set once its cancellation has been ordered.
+    pub stop_reason: Option<StopReason>,
 }
 
-/// Whether a run is waiting or running here.
-pub(super) fn known(state: &AgentState, run: &RunId) -> bool {
+/// Whether a run waits or runs here.
+pub(super) fn is_known(state: &AgentState, run: &RunId) -> bool {
     state.running.contains_key(run) || state.queue.jobs().iter().any(|j| &j.order.run == run)
 }
 
-/// Passes a piece on to everyone who waits for it.
-pub(super) fn piece(state: &mut AgentState, run: &RunId, text: String, out: &mut Vec<Effect>) {
+/// Sends a piece to every router that watches the run.
+pub(super) fn on_piece(state: &mut AgentState, run: &RunId, text: String, out: &mut Vec<Effect>) {
     let Some(running) = state.running.get_mut(run) else {
         return;
     };
@@ -54,8 +54,8 @@
     }
 }
 
-/// Settles a run that has ended at the endpoint.
-pub(super) fn ended(
+/// Handles the end of a run at the endpoint.
+pub(super) fn on_end(
     state: &mut AgentState,
     now: Millis,
     run: &RunId,
@@ -65,26 +65,26 @@
     let Some(mut running) = state.running.remove(run) else {
         return;
     };
-    let paused = running.stop == Some(StopReason::Paused);
+    let paused = running.stop_reason == Some(StopReason::Paused);
     match result {
         RunResult::Cancelled if paused => {
-            // It has been at the endpoint: from now on it can't be said not to have run.
-            running.job.started = true;
+            // It has run in part, so it can no longer be reported as not run.
+            running.job.was_paused = true;
             state.queue.push_front(running.job);
         }
         RunResult::Complete(status) => {
-            let took = now.saturating_sub(running.job.first_start.unwrap_or(running.since));
-            estimate::count(state, running.job.priority, took);
-            complete(state, &running.job, status, out);
+            let took = now.saturating_sub(running.job.first_start.unwrap_or(running.started_at));
+            estimate::record_run_time(state, running.job.priority, took);
+            end_complete(state, &running.job, status, out);
         }
-        RunResult::NotRun if !running.job.started => {
+        RunResult::NotRun if !running.job.was_paused => {
             refuse(state, &running.job, &Refusal::Endpoint, out);
         }
-        _ => broken(state, &running.job, out),
+        _ => end_broken(state, &running.job, out),
     }
 }
 
-fn complete(state: &mut AgentState, job: &Job, status: u16, out: &mut Vec<Effect>) {
+fn end_complete(state: &mut AgentState, job: &Job, status: u16, out: &mut Vec<Effect>) {
     if let Some(once) = &job.order.once {
         let fits = job.text.len() <= state.knobs.answer_bytes as usize;
         let done = OnceState::Done {
@@ -93,35 +93,36 @@
             text: fits.then(|| job.text.clone()),
         };
         let limit = state.knobs.answers_bytes as usize;
-        state.memory.done(&once.key, done, limit);
+        state.memory.finish(&once.key, done, limit);
     }
     let end = AttemptEnd::Complete {
         status,
         pieces: job.pieces,
     };
-    tell(job, &end, out);
+    send_end(job, &end, out);
 }
 
-fn broken(state: &mut AgentState, job: &Job, out: &mut Vec<Effect>) {
+fn end_broken(state: &mut AgentState, job: &Job, out: &mut Vec<Effect>) {
     if let Some(once) = &job.order.once {
         state.memory.set(&once.key, OnceState::Lost);
     }
-    tell(job, &AttemptEnd::Broken, out);
+    send_end(job, &AttemptEnd::Broken, out);
 }
 
-/// Refuses a job that was taken but hasn't run.
+/// Refuses an admitted job. One that has been paused has run in part, so its outcome is reported
+/// as unknown instead.
 pub(super) fn refuse(state: &mut AgentState, job: &Job, refusal: &Refusal, out: &mut Vec<Effect>) {
-    if job.started {
-        broken(state, job, out);
+    if job.was_paused {
+        end_broken(state, job, out);
         return;
     }
     if let Some(once) = &job.order.once {
         state.memory.set(&once.key, OnceState::Barred);
     }
-    tell(job, &AttemptEnd::Refused(refusal.clone()), out);
+    send_end(job, &AttemptEnd::Refused(refusal.clone()), out);
 }
 
-fn tell(job: &Job, end: &AttemptEnd, out: &mut Vec<Effect>) {
+fn send_end(job: &Job, end: &AttemptEnd, out: &mut Vec<Effect>) {
     for (router, run) in &job.watchers {
         out.push(Effect::Send {
             to: router.clone(),
@@ -133,7 +134,7 @@
     }
 }
 
-/// Refuses an attempt that wasn't taken.
+/// Refuses an attempt that wasn't admitted.
 pub(super) fn send_refusal(to: &InstanceId, run: RunId, refusal: Refusal, out: &mut Vec<Effect>) {
     out.push(Effect::Send {
         to: to.clone(),
@@ -144,72 +145,73 @@
     });
 }
 
-/// Refuses all that waits.
+/// Refuses all waiting requests.
 pub(super) fn refuse_waiting(state: &mut AgentState, refusal: &Refusal, out: &mut Vec<Effect>) {
-    for job in state.queue.take(|_| true) {
+    for job in state.queue.remove_matching(|_| true) {
         refuse(state, &job, refusal, out);
     }
 }
 
-/// Refuses what waits beyond its deadline; the answer goes out at once.
-pub(super) fn refuse_late(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
-    let late = state.queue.take(|j| j.deadline <= now);
-    for job in late {
-        let wait = estimate::wait(state, job.priority);
+/// Refuses waiting requests whose deadline has passed.
+pub(super) fn refuse_expired(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+    let expired = state.queue.remove_matching(|j| j.deadline <= now);
+    for job in expired {
+        let wait = estimate::expected_wait(state, job.priority);
         refuse(state, &job, &Refusal::TooLate(wait), out);
     }
 }
 
-/// Ends all that runs with an unknown outcome.
-pub(super) fn break_running(state: &mut AgentState, out: &mut Vec<Effect>) {
+/// Cancels all running requests and reports their outcome as unknown.
+pub(super) fn cancel_running(state: &mut AgentState, out: &mut Vec<Effect>) {
     let running = std::mem::take(&mut state.running);
     for (run, running) in running {
         let epoch = running.epoch;
         out.push(Effect::Endpoint(EndpointCall::Cancel { run, epoch }));
-        broken(state, &running.job, out);
+        end_broken(state, &running.job, out);
     }
 }
 
-/// Stops an attempt on its router's word.
-pub(super) fn cancelled(
+/// Handles a router's order to cancel an attempt.
+pub(super) fn on_cancel(
     state: &mut AgentState,
     from: &InstanceId,
     run: &RunId,
     out: &mut Vec<Effect>,
 ) {
-    let waiting = state.queue.take(|j| &j.order.run == run);
+    let waiting = state.queue.remove_matching(|j| &j.order.run == run);
     for job in waiting {
         refuse(state, &job, &Refusal::Cancelled, out);
     }
-    drop_watcher(
+    remove_watchers(
         state,
         |router, watched| router == from && watched == run,
         out,
     );
 }
 
-/// A router has gone: nobody waits for its requests any more.
-pub(super) fn router_gone(state: &mut AgentState, router: &InstanceId, out: &mut Vec<Effect>) {
-    drop_watcher(state, |r, _| r == router, out);
+/// Removes a router without a session from the watchers of all requests.
+pub(super) fn on_router_down(state: &mut AgentState, router: &InstanceId, out: &mut Vec<Effect>) {
+    remove_watchers(state, |r, _| r == router, out);
 }
 
-/// Removes watchers; a repeatable request without any is dropped or stopped.
-fn drop_watcher(
+/// Removes watchers. A request that may be repeated and has none left is dropped from the queue or
+/// cancelled at the endpoint.
+fn remove_watchers(
     state: &mut AgentState,
-    gone: impl Fn(&InstanceId, &RunId) -> bool,
+    is_gone: impl Fn(&InstanceId, &RunId) -> bool,
     out: &mut Vec<Effect>,
 ) {
     for job in state.queue.jobs_mut() {
-        job.watchers.retain(|(r, run)| !gone(r, run));
+        job.watchers.retain(|(r, run)| !is_gone(r, run));
     }
     state
         .queue
-        .take(|j| j.watchers.is_empty() && j.order.once.is_none());
+        .remove_matching(|j| j.watchers.is_empty() && j.order.once.is_none());
     for (run, running) in &mut state.running {
-        running.job.watchers.retain(|(r, run)| !gone(r, run));
-        let unwanted = running.job.watchers.is_empty() && running.job.order.once.is_none();
-        if unwanted && running.stop != Some(StopReason::Unwanted) {
-            running.stop = Some(StopReason::Unwanted);
+        running.job.watchers.retain(|(r, run)| !is_gone(r, run));
+        let is_unwatched = running.job.watchers.is_empty() && running.job.order.once.is_none();
+        if is_unwatched && running.stop_reason != Some(StopReason::Unwanted) {
+            running.stop_reason = Some(StopReason::Unwanted);
             let epoch = running.epoch;
             out.push(Effect::Endpoint(EndpointCall::Cancel { run: *run, epoch }));
         }
--- a/src/logic/agent/step.rs
+++ b/src/logic/agent/step.rs
@@ -10,49 +10,50 @@
             state.stopping = true;
             leave::begin(state, now, out);
         }
-        Event::Up(peer) => opened(state, now, &peer, out),
-        Event::Down(id) => closed(state, &id, out),
-        Event::Message { from, message } => message_in(state, now, &from, message, out),
-        Event::Endpoint(event) => endpoint(state, now, event, out),
-        // Ticks only need what follows; the rest is for routers.
+        Event::Up(peer) => on_peer_up(state, now, &peer, out),
+        Event::Down(id) => on_peer_down(state, &id, out),
+        Event::Message { from, message } => on_message(state, now, &from, message, out),
+        Event::Endpoint(event) => on_endpoint_event(state, now, event, out),
+        // A tick needs only what follows; the other events are for routers.
         _ => {}
     }
-    tend(state, now, out);
+    on_tick(state, now, out);
 }
 
-/// What is done after every event: time may have passed since the last one.
-fn tend(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
+/// Does what is due; called after every event, as time may have passed since the last one.
+fn on_tick(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
     grant::expire(state, now, out);
     state.memory.expire(now);
-    runs::refuse_late(state, now, out);
-    lead::tend(state, now, out);
-    pump::pump(state, now, out);
-    report::on_change(state, now, out);
+    runs::refuse_expired(state, now, out);
+    lead::on_tick(state, now, out);
+    pump::start_waiting(state, now, out);
+    report::send_changes(state, now, out);
     leave::exit_when_done(state, out);
 }
 
-fn opened(state: &mut AgentState, now: Millis, peer: &Peer, out: &mut Vec<Effect>) {
+fn on_peer_up(state: &mut AgentState, now: Millis, peer: &Peer, out: &mut Vec<Effect>) {
     match peer.role {
         PeerRole::Router => {
             state.routers.insert(peer.id.clone(), None);
-            report::greet(state, now, &peer.id, out);
+            report::send_current(state, now, &peer.id, out);
         }
         PeerRole::Agent => {
-            // A member can be reached again: ask at once instead of at the next round.
+            // A member may be reachable again: its lease is requested at once instead of at the
+            // next round.
             if let Some(lead) = &mut state.lead {
-                lead.next_ask = now;
+                lead.next_round = now;
             }
         }
     }
 }
 
-fn closed(state: &mut AgentState, id: &InstanceId, out: &mut Vec<Effect>) {
+fn on_peer_down(state: &mut AgentState, id: &InstanceId, out: &mut Vec<Effect>) {
     if state.routers.remove(id).is_some() {
-        runs::router_gone(state, id, out);
+        runs::on_router_down(state, id, out);
     }
 }
 
-fn message_in(
+fn on_message(
     state: &mut AgentState,
     now: Millis,
     from: &Peer,
@@ -60,12 +61,12 @@
     out: &mut Vec<Effect>,
 ) {
     match from.role {
-        PeerRole::Router => from_router(state, now, &from.id, message, out),
-        PeerRole::Agent => from_agent(state, now, from, message, out),
+        PeerRole::Router => on_router_message(state, now, &from.id, message, out),
+        PeerRole::Agent => on_agent_message(state, now, from, message, out),
     }
 }
 
-fn from_router(
+fn on_router_message(
     state: &mut AgentState,
     now: Millis,
     from: &InstanceId,
@@ -73,12 +74,12 @@
     out: &mut Vec<Effect>,
 ) {
     match message {
-        Message::Assign(record) => lead::assigned(state, now, *record, out),
-        Message::Release { group, epoch } => lead::released(state, &group, epoch, out),
+        Message::Assign(record) => lead::on_assign(state, now, *record, out),
+        Message::Release { group, epoch } => lead::on_release(state, &group, epoch, out),
         Message::Leave => leave::begin(state, now, out),
-        Message::Brief(brief) => adopt(state, brief, out),
-        Message::Run(order) => admission::ordered(state, now, from, *order, out),
-        Message::Cancel(run) => runs::cancelled(state, from, &run, out),
+        Message::Brief(brief) => on_brief(state, brief, out),
+        Message::Run(order) => admission::on_run_order(state, now, from, *order, out),
+        Message::Cancel(run) => runs::on_cancel(state, from, &run, out),
         Message::Query {
             run,
             once,
@@ -91,13 +92,13 @@
                 incarnation,
                 bar,
             };
-            claims::queried(state, now, from, &query, out);
+            claims::on_query(state, now, from, &query, out);
         }
-        _ => unexpected(from, out),
+        _ => log_unexpected(from, out),
     }
 }
 
-fn from_agent(
+fn on_agent_message(
     state: &mut AgentState,
     now: Millis,
     from: &Peer,
@@ -105,7 +106,7 @@
     out: &mut Vec<Effect>,
 ) {
     match message {
-        Message::LeaseAsk(ask) => grant::asked(state, now, from, &ask, out),
+        Message::LeaseAsk(ask) => grant::on_lease_request(state, now, from, &ask, out),
         Message::LeaseGrant { holder, .. } if holder != state.incarnation => {}
         Message::LeaseGrant {
             holder: _,
@@ -116,26 +117,28 @@
             leaving,
             bundle,
         } => {
-            let hold = Hold {
+            let lease = Hold {
                 until: 0,
                 ready,
                 failed,
                 leaving,
             };
-            lead::granted(state, now, &from.id, epoch, round, hold);
-            pass_brief(state, &from.id, bundle, out);
+            lead::on_lease_granted(state, now, &from.id, epoch, round, lease);
+            send_newer_brief(state, &from.id, bundle, out);
+        }
+        Message::LeaseDeny { epoch, seen } => {
+            lead::on_lease_denied(state, &from.id, epoch, seen, out)
         }
-        Message::LeaseDeny { epoch, seen } => lead::denied(state, &from.id, epoch, seen, out),
         Message::LeaseReturn { group, epoch } => {
-            grant::returned(state, from, &group, epoch, out);
+            grant::on_lease_returned(state, from, &group, epoch, out);
         }
-        Message::Brief(brief) => adopt(state, brief, out),
-        _ => unexpected(&from.id, out),
+        Message::Brief(brief) => on_brief(state, brief, out),
+        _ => log_unexpected(&from.id, out),
     }
 }
 
-/// Gives a member the newer bundle.
-fn pass_brief(state: &AgentState, to: &InstanceId, bundle: u64, out: &mut Vec<Effect>) {
+/// Sends a member the newer bundle, when its own is older.
+fn send_newer_brief(state: &AgentState, to: &InstanceId, bundle: u64, out: &mut Vec<Effect>) {
     if bundle < state.brief.number {
         out.push(Effect::Send {
             to: to.clone(),
@@ -144,33 +147,38 @@
     }
 }
 
-/// Takes a bundle up if it is newer; an older one never comes back.
-fn adopt(state: &mut AgentState, brief: Brief, out: &mut Vec<Effect>) {
+/// Puts a bundle into force if it is newer; an older one is ignored.
+fn on_brief(state: &mut AgentState, brief: Brief, out: &mut Vec<Effect>) {
     if brief.number <= state.brief.number {
         return;
     }
-    let note = Note::new(NoteCode::BundleInForce).with("bundle", brief.number);
-    out.push(Effect::Note(note));
+    let event = Note::new(NoteCode::BundleInForce).with("bundle", brief.number);
+    out.push(Effect::Note(event));
     state.brief = brief;
 }
 
-fn unexpected(from: &InstanceId, out: &mut Vec<Effect>) {
+fn log_unexpected(from: &InstanceId, out: &mut Vec<Effect>) {
     out.push(Effect::Note(
         Note::new(NoteCode::UnexpectedMessage).with("from", from),
     ));
 }
 
-fn endpoint(state: &mut AgentState, now: Millis, event: EndpointEvent, out: &mut Vec<Effect>) {
+fn on_endpoint_event(
+    state: &mut AgentState,
+    now: Millis,
+    event: EndpointEvent,
+    out: &mut Vec<Effect>,
+) {
     match event {
         EndpointEvent::Loaded { epoch, ok } => {
-            load::ended(state, now, epoch, ok, out);
-            // Report the end of the load to the own group at once.
+            load::on_load_end(state, now, epoch, ok, out);
+            // Starts a round at once, so that the leader counts its own endpoint as loaded.
             if let Some(lead) = &mut state.lead {
-                lead.next_ask = now;
+                lead.next_round = now;
             }
         }
-        EndpointEvent::Piece { run, text } => runs::piece(state, &run, text, out),
-        EndpointEvent::Ended { run, result } => runs::ended(state, now, &run, result, out),
+        EndpointEvent::Piece { run, text } => runs::on_piece(state, &run, text, out),
+        EndpointEvent::Ended { run, result } => runs::on_end(state, now, &run, result, out),
         EndpointEvent::Status { slots } => state.knobs.slots = slots.max(1),
     }
 }
