--- a/tests/fleet/groups.rs
+++ b/tests/fleet/groups.rs
@@ -1,4 +1,5 @@
-//! No group serves while an instance is missing; no instance is in two groups.
+//! Groups that lose members: none serves while a member is missing, and no instance is in two
+//! groups.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +11,7 @@
 /// One way to lose a member.
 struct Case {
     name: &'static str,
-    /// Index in the group; 0 leads.
+    /// Rank in the group; 0 is the leader.
     member: usize,
     lose: fn(&mut Fleet, &str),
 }
@@ -56,8 +57,8 @@
     },
 ];
 
-/// Leaders whose log says that their group was open last.
-fn open_at(fleet: &Fleet, leader: &str) -> bool {
+/// Whether the last event of a leader's log about accepting requests says that its group is open.
+fn is_open_at(fleet: &Fleet, leader: &str) -> bool {
     let log = fleet.logged(leader, "group takes");
     log.last().is_some_and(|l| l.contains("takes work"))
 }
@@ -66,12 +67,12 @@
 fn a_group_that_loses_an_instance_is_repaired_with_a_spare() {
     std::thread::scope(|scope| {
         for case in &CASES {
-            scope.spawn(move || repaired(case));
+            scope.spawn(move || check_repair(case));
         }
     });
 }
 
-fn repaired(case: &Case) {
+fn check_repair(case: &Case) {
     let mut fleet = serving(&FleetPlan {
         engines: 5,
         ..FleetPlan::default()
@@ -79,11 +80,11 @@
     let before = fleet.members("e1");
     let lost = before[case.member].clone();
     (case.lose)(&mut fleet, &lost);
-    let moved = until(LONG, || {
+    let replaced = until(LONG, || {
         let now = fleet.members("e1");
         !now.is_empty() && !now.contains(&lost) && !fleet.open_groups("e1").is_empty()
     });
-    assert!(moved, "{}: {}", case.name, fleet.status("e1"));
+    assert!(replaced, "{}: {}", case.name, fleet.status("e1"));
     let answer = answered(&fleet, "e1", &Chat::default());
     assert_eq!(answer.text, whole("check this payee", 8), "{}", case.name);
     let last = fleet.fabric.runs().pop().expect("a run");
@@ -103,20 +104,24 @@
     let runs = fleet.fabric.runs().len();
     let answer = fleet.chat("e1", &Chat::default());
     assert_eq!(answer.outcome.as_deref(), Some("not_run"));
-    assert_eq!(fleet.fabric.runs().len(), runs, "told not run, yet it ran");
+    assert_eq!(
+        fleet.fabric.runs().len(),
+        runs,
+        "reported as not run, but it ran"
+    );
     fleet.start_agent(&member);
     fleet.fabric.set_down(&member, false);
     answered(&fleet, "e1", &Chat::default());
 }
 
 #[test]
-fn a_leader_that_sleeps_through_its_leases_starts_nothing_when_it_wakes() {
+fn a_leader_paused_past_its_leases_starts_nothing_when_resumed() {
     let fleet = serving(&FleetPlan {
         engines: 5,
         ..FleetPlan::default()
     });
     let leader = fleet.members("e1")[0].clone();
-    // Work waits in its socket while it sleeps and is read when it wakes.
+    // Orders wait in its socket while the process is paused, and are read when it resumes.
     fleet.agents[&leader].pause();
     let call = Chat {
         prompt: "sleeper".into(),
@@ -126,11 +131,11 @@
     };
     std::thread::scope(|scope| {
         scope.spawn(|| fleet.chat("e1", &call));
-        let moved = until(LONG, || {
+        let replaced = until(LONG, || {
             let now = fleet.members("e1");
             !now.is_empty() && !now.contains(&leader) && !fleet.open_groups("e1").is_empty()
         });
-        assert!(moved, "{}", fleet.status("e1"));
+        assert!(replaced, "{}", fleet.status("e1"));
         fleet.agents[&leader].resume();
     });
     answered(&fleet, "e1", &Chat::default());
@@ -195,7 +200,7 @@
         .iter()
         .map(|g| g["members"][0].as_str().unwrap_or_default().to_string())
         .collect();
-    assert!(leaders.iter().all(|l| open_at(&fleet, l)));
+    assert!(leaders.iter().all(|l| is_open_at(&fleet, l)));
     answered(&fleet, "e2", &Chat::default());
 }
 
--- a/tests/fleet/leaving.rs
+++ b/tests/fleet/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving: nothing new within seconds, nothing in flight is cut.
+//! Orderly leave: no new requests after a few seconds, and none in flight is cut off.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::{answered, serving, whole};
 
-fn slow(engines: usize) -> FleetPlan {
+fn slow_engines(engines: usize) -> FleetPlan {
     FleetPlan {
         engines,
         engine: EngineKnobs {
@@ -20,7 +20,7 @@
 #[test]
 fn a_leader_told_to_stop_finishes_its_streams_and_a_spare_takes_over() {
     for index in [0, 2] {
-        let mut fleet = serving(&slow(5));
+        let mut fleet = serving(&slow_engines(5));
         let member = fleet.members("e1")[index].clone();
         let call = Chat {
             pieces: 60,
@@ -37,7 +37,7 @@
         let agent = fleet.agents.get_mut(&member).expect("an agent");
         assert!(
             until(LONG, || agent.ended() == Some(true)),
-            "it doesn't end"
+            "the agent doesn't exit"
         );
         fleet.platform.set_state(&member, None);
         answered(&fleet, "e1", &Chat::default());
@@ -49,9 +49,10 @@
 fn with_enough_spares_the_successor_opens_before_the_group_drains() {
     let fleet = serving(&FleetPlan {
         engines: 9,
-        ..slow(9)
+        ..slow_engines(9)
     });
-    // Two groups of four and one spare: with one group wanted, five are spare.
+    // Nine instances form two groups of four and leave one spare; with one group wanted, five are
+    // spare.
     fleet.roll(&testkit::test_bundle(1));
     assert!(until(LONG, || fleet.open_groups("e1").len() == 1));
     let old = fleet.open_groups("e1")[0].clone();
@@ -77,9 +78,9 @@
 
 #[test]
 fn a_leaving_endpoint_gets_nothing_new_although_the_list_lags() {
-    let fleet = serving(&slow(4));
+    let fleet = serving(&slow_engines(4));
     let member = fleet.members("e1")[1].clone();
-    // The instance list goes on showing it as live.
+    // The instance list still shows it as live.
     fleet.agents[&member].terminate();
     let refused = until(Duration::from_secs(10), || {
         !fleet
@@ -92,7 +93,7 @@
             )
             .is_answered()
     });
-    assert!(refused, "new work still runs");
+    assert!(refused, "new requests still run");
     let runs = fleet.fabric.runs().len();
     for _ in 0..5 {
         let answer = fleet.chat(
@@ -111,14 +112,14 @@
 fn a_router_told_to_stop_finishes_its_streams_and_takes_nothing_new() {
     let mut fleet = serving(&FleetPlan {
         routers: 2,
-        ..slow(4)
+        ..slow_engines(4)
     });
     let call = Chat {
         pieces: 30,
         ..Chat::default()
     };
     let answers: Vec<_> = std::thread::scope(|scope| {
-        // Eight of them, so that some end with the process's own last step.
+        // Eight calls, so that some end in the last step of the process before it exits.
         let calls: Vec<_> = (0..8)
             .map(|_| scope.spawn(|| fleet.chat("e1", &call)))
             .collect();
