--- a/src/logic/agent/runs.rs
+++ b/src/logic/agent/runs.rs
@@ -189,7 +189,7 @@
     );
 }
 
-/// Removes a router without a session from the watchers of all requests.
+/// Removes a router that has lost its session from the watchers of all requests.
 pub(super) fn on_router_down(state: &mut AgentState, router: &InstanceId, out: &mut Vec<Effect>) {
     remove_watchers(state, |r, _| r == router, out);
 }
--- a/src/logic/router/planner/condition.rs
+++ b/src/logic/router/planner/condition.rs
@@ -3,7 +3,8 @@
 pub enum Condition {
     /// Accepts requests.
     Open,
-    /// Its leader is connected, but the group accepts no requests: it is loading or lacks a member.
+    /// Its leader has reported, but the group accepts no requests: it loads, drains or lacks a
+    /// member.
     Closed,
     /// Its leader doesn't lead it any more, after a drain or the loss of a member; nothing is in
     /// flight.
--- a/src/logic/router/planner/duty.rs
+++ b/src/logic/router/planner/duty.rs
@@ -23,7 +23,7 @@
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
-    on_lease_change(state, now, out);
+    check_lease_change(state, now, out);
     renew_lease(state, now, out);
     if now < state.planner.plan_at {
         return;
@@ -35,7 +35,7 @@
     }
 }
 
-fn on_lease_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
+fn check_lease_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let held = state.planner.holds(now);
     if held == state.planner.was_held {
         return;
