--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -90,7 +90,7 @@
             }
         }
     }
-    planner::add_wanted(state, &mut wanted);
+    planner::add_planner_sessions(state, &mut wanted);
     wanted
 }
 
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -40,7 +40,7 @@
     head::on_tick(state, now, out);
     peers::on_tick(state, now, out);
     roll::on_tick(state, now, out);
-    planner::tend(state, now, out);
+    planner::on_tick(state, now, out);
     recalling::on_tick(state, now, out);
     sending::on_tick(state, now, out);
     agents::on_tick(state, now, out);
@@ -139,7 +139,7 @@
                 state.claims.leased_at = asked_at;
             }
         }
-        planner_call => planner::answered(state, now, planner_call, result, out),
+        planner_call => planner::on_store_reply(state, now, planner_call, result, out),
     }
 }
 
