--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -13,17 +13,17 @@
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Own instance.
+    /// Id of the own instance.
     pub id: String,
     /// The fleet's key.
     pub key: Arc<[u8]>,
-    /// Sessions with other processes.
+    /// Settings of the sessions with other processes.
     pub net: NetSettings,
-    /// The endpoint beside it.
+    /// The endpoint that the agent runs beside.
     pub endpoint: EndpointSettings,
-    /// Receiver of statsd metrics.
+    /// Address of the statsd receiver; none where metrics are only kept.
     pub statsd: Option<SocketAddr>,
-    /// Numbers that decisions are made by.
+    /// Parameters of the agent's decisions.
     pub knobs: AgentKnobs,
 }
 
@@ -41,19 +41,19 @@
 }
 
 impl AgentSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// Returns every fault of the file at once.
+    /// Returns all faults of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let mut ini = IniReader::open(path)?;
         let settings = Self {
-            id: ini.text("instance", "id", "the instance's name in the instance list"),
+            id: ini.required("instance", "id", "the instance's name in the instance list"),
             key: ini.fleet_key(),
             net: read_net(&mut ini),
             endpoint: read_endpoint(&mut ini),
             statsd: ini.optional("metrics", "statsd", "an IP address and a port"),
-            knobs: read_knobs(&mut ini),
+            knobs: read_params(&mut ini),
         };
         ini.finish()?;
         Ok(settings)
@@ -63,10 +63,10 @@
 fn read_endpoint(ini: &mut IniReader) -> EndpointSettings {
     let d = EndpointSettings::default();
     let expected = "the IP address and port of the endpoint";
-    let addr = ini.text("endpoint", "addr", expected);
+    let addr = ini.required("endpoint", "addr", expected);
     let parsed = addr.parse();
     if !addr.is_empty() && parsed.is_err() {
-        ini.fault("endpoint", "addr", format!("{addr:?}"), expected);
+        ini.add_fault("endpoint", "addr", format!("{addr:?}"), expected);
     }
     let kind = ini.parsed(
         "endpoint",
@@ -75,11 +75,11 @@
         "engine or service",
     );
     if kind != "engine" && kind != "service" {
-        ini.fault("endpoint", "kind", format!("{kind:?}"), "engine or service");
+        ini.add_fault("endpoint", "kind", format!("{kind:?}"), "engine or service");
     }
-    let mut ms = |key: &str, default: Duration, high: u64| {
+    let mut ms = |key: &str, default: Duration, max: u64| {
         let default = default.as_millis() as u64;
-        let number = ini.number("endpoint", key, default, 10..=high, "milliseconds");
+        let number = ini.number("endpoint", key, default, 10..=max, "milliseconds");
         Duration::from_millis(number)
     };
     EndpointSettings {
@@ -91,7 +91,7 @@
     }
 }
 
-fn read_knobs(ini: &mut IniReader) -> AgentKnobs {
+fn read_params(ini: &mut IniReader) -> AgentKnobs {
     let d = AgentKnobs::default();
     let lease_ms = ini.number(
         "group",
@@ -100,7 +100,7 @@
         100..=30_000,
         "milliseconds",
     );
-    // A tenth of the lease covers two clocks that drift apart by a tenth.
+    // A margin of a tenth of the lease covers clocks that drift apart by a tenth.
     let margin = (lease_ms / 10).max(1);
     let ask = (lease_ms / 3).max(1);
     AgentKnobs {
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -9,57 +9,59 @@
 use crate::logic::direct::{DirectKnobs, Mechanism};
 use crate::types::FigureGap;
 
-/// Settings of a router that reaches endpoints by direct links.
+/// Settings of a router that reaches endpoints by direct HTTP links.
 #[derive(Clone, Debug)]
 pub struct DirectSettings {
-    /// Own instance.
+    /// Id of the own instance.
     pub id: String,
-    /// Own data hall.
+    /// Data hall of the own instance.
     pub hall: String,
     /// Address for callers.
     pub callers: SocketAddr,
-    /// Address at which the balancer asks.
+    /// Address for the load balancer's readiness checks; serves the metrics too.
     pub ready: SocketAddr,
-    /// Address for scrapers beside the balancer's, which tells the figures too.
+    /// Further address that serves the same as `ready`, for scrapers of metrics.
     pub metrics: Option<SocketAddr>,
-    /// Address for other routers; without it none is asked.
+    /// Address for datagrams of other routers; none where routers exchange no messages.
     pub peers: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
     /// Longest wait of a watch, in milliseconds.
     pub watch_ms: u64,
-    /// Pause between two readings of the list's changes, in milliseconds.
+    /// Pause after changes of the endpoint list before it is read again, in milliseconds.
     pub list_ms: u64,
-    /// Time within which an endpoint that leaves gets nothing new, in milliseconds.
+    /// Time after which an endpoint that leaves must get no new requests, in milliseconds.
     pub drain_ms: u64,
-    /// Reading calls that the store takes in a second; 0 where that isn't known.
+    /// Read calls that the store takes in a second from all routers; 0 where it isn't known.
     pub reads: u64,
-    /// Numbers that decisions are made by.
+    /// Parameters of the router's decisions.
     pub knobs: DirectKnobs,
-    /// Figures that the file leaves empty, and what stands in for them.
+    /// Values that the file leaves empty, with the defaults that are used in their place.
     pub gaps: Vec<FigureGap>,
 }
 
-/// Times the wait of other watches that the one of own keys has.
-const OWN_WAIT: u64 = 3;
+/// Factor of the wait of the watch of the routers' own keys, over that of the other watches.
+const OWN_WAIT_FACTOR: u64 = 3;
 
-/// Shortest wait of a watch, in milliseconds: ten calls a second of each router.
-const SHORTEST_WAIT: u64 = 100;
+/// Lower bound of the wait of a watch: while nothing changes, each watch of a router makes at
+/// most ten calls a second.
+const MIN_WATCH_MS: u64 = 100;
 
-/// Pause after a change of the routers' own keys: routers that start together write
-/// theirs within it. A planner's end that falls into it is seen so much later.
+/// Pause after changes of the routers' own keys, so that one call reads the keys of all routers
+/// that start together. If a planner ends during the pause, that is noticed only after it.
 const OWN_PAUSE: Duration = Duration::from_millis(300);
 
-/// Longest wait of a watch, in milliseconds.
-const LONGEST_WAIT: u64 = 30_000;
+/// Upper bound of the wait of a watch.
+const MAX_WATCH_MS: u64 = 30_000;
 
-/// Part of the time to drain that a router may rest between two readings of the list.
-const REST_PART: u64 = 3;
+/// Divisor of the drain time that gives the longest pause between two reads of the endpoint
+/// list, so that it is read at least twice within that time.
+const LIST_PAUSE_DIVISOR: u64 = 3;
 
-/// Longest rest between two readings of the list.
-const LONGEST_REST: Duration = Duration::from_secs(2);
+/// Upper bound of the pause between two reads of the endpoint list.
+const MAX_LIST_PAUSE: Duration = Duration::from_secs(2);
 
 impl Default for DirectSettings {
     fn default() -> Self {
@@ -84,23 +86,23 @@
 }
 
 impl DirectSettings {
-    /// Whether a file holds settings of this kind: it has a section `[direct]`.
+    /// Whether a file holds settings of a direct router, that is, has a section `[direct]`.
     pub fn is_meant(path: &Path) -> bool {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         text.lines().any(|line| line.trim() == "[direct]")
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// Returns every fault of the file at once.
+    /// Returns all faults of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let mut ini = IniReader::open(path)?;
         let d = Self::default();
         let address = "an IP address and a port";
         let settings = Self {
-            id: ini.text("instance", "id", "the instance's name"),
-            hall: ini.text("instance", "hall", "the name of the data hall"),
+            id: ini.required("instance", "id", "the instance's name"),
+            hall: ini.required("instance", "hall", "the name of the data hall"),
             callers: ini.parsed("listen", "callers", d.callers, address),
             ready: ini.parsed("listen", "ready", d.ready, address),
             metrics: ini.optional("listen", "metrics", address),
@@ -108,19 +110,19 @@
             store: ini.parsed("direct", "store", d.store, address),
             first_start: ini.parsed("direct", "first_start", false, "true or false"),
             watch_ms: ini
-                .figure("direct", "watch_ms", d.watch_ms, 1, "milliseconds")
-                .clamp(SHORTEST_WAIT, LONGEST_WAIT),
+                .scaled_number("direct", "watch_ms", d.watch_ms, 1, "milliseconds")
+                .clamp(MIN_WATCH_MS, MAX_WATCH_MS),
             list_ms: ini.number("direct", "list_ms", d.list_ms, 0..=10_000, "milliseconds"),
-            drain_ms: ini.figure("direct", "drain_ms", d.drain_ms, 1, "milliseconds"),
-            reads: ini.figure("direct", "reads_per_s", d.reads, 1, "calls"),
-            knobs: read_knobs(&mut ini),
-            gaps: ini.gaps().to_vec(),
+            drain_ms: ini.scaled_number("direct", "drain_ms", d.drain_ms, 1, "milliseconds"),
+            reads: ini.scaled_number("direct", "reads_per_s", d.reads, 1, "calls"),
+            knobs: read_params(&mut ini),
+            gaps: ini.missing_values().to_vec(),
         };
         ini.finish()?;
         Ok(settings)
     }
 
-    /// How the operators' routing is watched.
+    /// Timing of the watch of the operators' routing.
     pub(crate) fn routing_pace(&self) -> WatchPace {
         WatchPace {
             wait_ms: self.watch_ms,
@@ -129,56 +131,58 @@
         }
     }
 
-    /// How the routers' own keys are watched: the store holds the call for longer,
-    /// as nothing that they tell has to be in force within a bound.
+    /// Timing of the watch of the routers' own keys. The store may hold the call for longer, as
+    /// no bound is set on the time within which changes of these keys take effect.
     pub(crate) fn own_pace(&self) -> WatchPace {
         WatchPace {
-            wait_ms: (self.watch_ms * OWN_WAIT).min(LONGEST_WAIT),
+            wait_ms: (self.watch_ms * OWN_WAIT_FACTOR).min(MAX_WATCH_MS),
             pause: OWN_PAUSE,
             what: Watch::Own,
         }
     }
 
-    /// How the list is watched.
+    /// Timing of the watch of the endpoint list.
     pub(crate) fn list_pace(&self) -> WatchPace {
         WatchPace {
             wait_ms: self.watch_ms,
             pause: Duration::from_millis(self.list_ms),
-            what: Watch::List(Duration::from_millis(self.drain_ms / REST_PART).min(LONGEST_REST)),
+            what: Watch::List(
+                Duration::from_millis(self.drain_ms / LIST_PAUSE_DIVISOR).min(MAX_LIST_PAUSE),
+            ),
         }
     }
 }
 
-fn read_knobs(ini: &mut IniReader) -> DirectKnobs {
+fn read_params(ini: &mut IniReader) -> DirectKnobs {
     let d = DirectKnobs::default();
     let ms = "milliseconds";
-    let window_ms = ini.figure("retries", "window_s", d.retry_window, 1_000, "seconds");
-    let given = |value: u64, usual| if value > 0 { value } else { usual };
+    let window_ms = ini.scaled_number("retries", "window_s", d.retry_window, 1_000, "seconds");
+    let positive_or = |value: u64, default| if value > 0 { value } else { default };
     DirectKnobs {
         lease_ms: ini.number("planner", "lease_ms", d.lease_ms, 1_000..=60_000, ms),
         plan_ms: ini.number("planner", "plan_ms", d.plan_ms, 1..=10_000, ms),
         silence_ms: ini.number("planner", "silence_ms", d.silence_ms, 20..=60_000, ms),
-        stall_ms: ini.figure("planner", "stall_ms", d.stall_ms, 1, ms),
+        stall_ms: ini.scaled_number("planner", "stall_ms", d.stall_ms, 1, ms),
         order_ms: ini.number("planner", "order_ms", d.order_ms, 50..=60_000, ms),
         shun_ms: ini.number("routing", "shun_ms", d.shun_ms, 0..=600_000, ms),
         again_ms: ini.number("routing", "again_ms", d.again_ms, 0..=600_000, ms),
-        retry_ratio: ini.figure(
+        retry_ratio: ini.scaled_number(
             "retries",
             "ratio",
             d.retry_ratio,
             1_000,
             "retries a request",
         ),
-        retry_extra: ini.figure("retries", "extra", d.retry_extra, 1_000, "retries"),
-        // A window of no length would hold no retry; the usual one stands in.
-        retry_window: given(window_ms, d.retry_window),
-        grace_ms: ini.figure("stop", "grace_s", d.grace_ms, 1_000, "seconds"),
-        off: read_off(ini),
+        retry_extra: ini.scaled_number("retries", "extra", d.retry_extra, 1_000, "retries"),
+        // A window of length 0 would count no earlier retries: the default is used instead.
+        retry_window: positive_or(window_ms, d.retry_window),
+        grace_ms: ini.scaled_number("stop", "grace_s", d.grace_ms, 1_000, "seconds"),
+        off: read_disabled(ini),
     }
 }
 
-/// Mechanisms that are switched off: names with commas between them.
-fn read_off(ini: &mut IniReader) -> BTreeSet<Mechanism> {
+/// Reads the mechanisms that are switched off: names separated by commas.
+fn read_disabled(ini: &mut IniReader) -> BTreeSet<Mechanism> {
     let text: String = ini.parsed("policy", "off", String::new(), "names of mechanisms");
     let mut off = BTreeSet::new();
     for name in text.split(',').map(str::trim).filter(|n| !n.is_empty()) {
@@ -186,7 +190,7 @@
             Ok(mechanism) => {
                 off.insert(mechanism);
             }
-            Err(why) => ini.fault("policy", "off", why, "names with commas between them"),
+            Err(why) => ini.add_fault("policy", "off", why, "names separated by commas"),
         }
     }
     off
--- a/src/settings/ini_reader.rs
+++ b/src/settings/ini_reader.rs
@@ -1,4 +1,4 @@
-//! Reads an INI file key by key, notes faults, and finds keys that nobody read.
+//! Reads an INI file key by key, collects all faults, and reports unknown keys as faults.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -12,12 +12,12 @@
 use super::{SettingsError, SettingsFault};
 use crate::types::FigureGap;
 
-/// Largest figure that is kept, in its unit: 30 years in milliseconds, so that sums of
-/// a few of them can't overflow.
-const MOST: f64 = 1e12;
+/// Upper bound of a scaled number: 30 years in milliseconds, so that sums of a few such
+/// numbers can't overflow.
+const MAX_SCALED: f64 = 1e12;
 
-/// Fewest bytes of the fleet's key.
-const KEY_BYTES: usize = 32;
+/// Minimum length of the fleet's key.
+const MIN_KEY_BYTES: usize = 32;
 
 pub(super) struct IniReader {
     file: String,
@@ -25,14 +25,17 @@
     ini: Ini,
     used: BTreeSet<(String, String)>,
     faults: Vec<SettingsFault>,
-    gaps: Vec<FigureGap>,
+    missing: Vec<FigureGap>,
 }
 
 impl IniReader {
-    /// Reads a file; a file that can't be read or parsed is its only fault.
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// Returns a single fault where the file can't be read or isn't valid INI.
     pub fn open(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
-        let whole = |line, found: String, expected: &str| SettingsError {
+        let file_error = |line, found: String, expected: &str| SettingsError {
             file: file.clone(),
             faults: vec![SettingsFault {
                 line,
@@ -42,28 +45,34 @@
             }],
         };
         let text = std::fs::read_to_string(path)
-            .map_err(|e| whole(None, e.to_string(), "a readable file"))?;
+            .map_err(|e| file_error(None, e.to_string(), "a readable file"))?;
         let ini = Ini::load_from_str(&text)
-            .map_err(|e| whole(Some(e.line + 1), e.msg.to_string(), "INI"))?;
+            .map_err(|e| file_error(Some(e.line + 1), e.msg.to_string(), "valid INI"))?;
         Ok(Self {
             file,
             text,
             ini,
             used: BTreeSet::new(),
             faults: Vec::new(),
-            gaps: Vec::new(),
+            missing: Vec::new(),
         })
     }
 
-    fn value(&mut self, section: &str, key: &str) -> Option<String> {
+    fn read_value(&mut self, section: &str, key: &str) -> Option<String> {
         self.used.insert((section.to_string(), key.to_string()));
         self.ini.get_from(Some(section), key).map(str::to_string)
     }
 
-    /// Notes a fault of a key.
-    pub fn fault(&mut self, section: &str, key: &str, found: impl Display, expected: impl Display) {
+    /// Records a fault of a key.
+    pub fn add_fault(
+        &mut self,
+        section: &str,
+        key: &str,
+        found: impl Display,
+        expected: impl Display,
+    ) {
         let fault = SettingsFault {
-            line: self.line(section, key),
+            line: self.line_of(section, key),
             place: format!("[{section}] {key}"),
             found: found.to_string(),
             expected: expected.to_string(),
@@ -71,8 +80,8 @@
         self.faults.push(fault);
     }
 
-    /// Line of a key; the parser doesn't keep it.
-    fn line(&self, section: &str, key: &str) -> Option<usize> {
+    /// Line of a key, found by a search of the text, as the parser doesn't keep it.
+    fn line_of(&self, section: &str, key: &str) -> Option<usize> {
         let mut inside = false;
         for (i, line) in self.text.lines().enumerate() {
             let line = line.trim();
@@ -85,18 +94,19 @@
         None
     }
 
-    /// A text that must be present.
-    pub fn text(&mut self, section: &str, key: &str, expected: &str) -> String {
-        match self.value(section, key) {
+    /// Reads a string that must be present and not empty.
+    pub fn required(&mut self, section: &str, key: &str, expected: &str) -> String {
+        match self.read_value(section, key) {
             Some(text) if !text.is_empty() => text,
             _ => {
-                self.fault(section, key, "nothing", expected);
+                self.add_fault(section, key, "nothing", expected);
                 String::new()
             }
         }
     }
 
-    /// A number within a range, with its unit, or the default.
+    /// Reads a number within a range; the default where the key is absent. `unit` is for the
+    /// error.
     pub fn number<T>(
         &mut self,
         section: &str,
@@ -108,23 +118,23 @@
     where
         T: FromStr + PartialOrd + Display + Copy,
     {
-        let Some(text) = self.value(section, key) else {
+        let Some(text) = self.read_value(section, key) else {
             return default;
         };
         match text.parse::<T>() {
             Ok(number) if range.contains(&number) => number,
             _ => {
                 let expected = format!("{} to {} {unit}", range.start(), range.end());
-                self.fault(section, key, format!("{text:?}"), expected);
+                self.add_fault(section, key, format!("{text:?}"), expected);
                 default
             }
         }
     }
 
-    /// A figure that may be a fraction: in units of `1 / scale`, rounded down, or the
-    /// default. That the default stands in for an empty value is noted, as whoever filled
-    /// the file in meant to tell one.
-    pub fn figure(
+    /// Reads a number of at least 0 that may have a fraction, in units of `1 / scale`, rounded
+    /// down; the default where the key is absent. For an empty value the default is used and
+    /// recorded as a missing value, as the file was meant to give one.
+    pub fn scaled_number(
         &mut self,
         section: &str,
         key: &str,
@@ -132,11 +142,11 @@
         scale: u32,
         unit: &str,
     ) -> u64 {
-        let Some(text) = self.value(section, key) else {
+        let Some(text) = self.read_value(section, key) else {
             return default;
         };
         if text.trim().is_empty() {
-            self.gaps.push(FigureGap {
+            self.missing.push(FigureGap {
                 place: format!("[{section}] {key}"),
                 found: "nothing".to_string(),
                 used: format!("{} {unit}", default as f64 / f64::from(scale)),
@@ -144,22 +154,22 @@
             return default;
         }
         match text.trim().parse::<f64>() {
-            // A figure beyond what can be counted means no bound; the cast saturates.
-            Ok(figure) if figure >= 0.0 => (figure * f64::from(scale)).min(MOST) as u64,
+            // Larger numbers mean that there is no bound; they are capped.
+            Ok(number) if number >= 0.0 => (number * f64::from(scale)).min(MAX_SCALED) as u64,
             _ => {
                 let expected = format!("a number of {unit}, 0 or more");
-                self.fault(section, key, format!("{text:?}"), expected);
+                self.add_fault(section, key, format!("{text:?}"), expected);
                 default
             }
         }
     }
 
-    /// What stood in for figures without a value so far.
-    pub fn gaps(&self) -> &[FigureGap] {
-        &self.gaps
+    /// The missing values so far, with the defaults that are used in their place.
+    pub fn missing_values(&self) -> &[FigureGap] {
+        &self.missing
     }
 
-    /// A value of another form, or the default.
+    /// Reads a value of any type that can be parsed; the default where the key is absent.
     pub fn parsed<T: FromStr>(
         &mut self,
         section: &str,
@@ -167,44 +177,44 @@
         default: T,
         expected: &str,
     ) -> T {
-        let Some(text) = self.value(section, key) else {
+        let Some(text) = self.read_value(section, key) else {
             return default;
         };
         match text.parse() {
             Ok(value) => value,
             Err(_) => {
-                self.fault(section, key, format!("{text:?}"), expected);
+                self.add_fault(section, key, format!("{text:?}"), expected);
                 default
             }
         }
     }
 
-    /// A value of another form that may be absent.
+    /// Reads a value of any type that can be parsed; none where the key is absent.
     pub fn optional<T: FromStr>(&mut self, section: &str, key: &str, expected: &str) -> Option<T> {
-        let text = self.value(section, key)?;
+        let text = self.read_value(section, key)?;
         match text.parse() {
             Ok(value) => Some(value),
             Err(_) => {
-                self.fault(section, key, format!("{text:?}"), expected);
+                self.add_fault(section, key, format!("{text:?}"), expected);
                 None
             }
         }
     }
 
-    /// Values separated by commas; at least one.
+    /// Reads values separated by commas. The key must be present and not empty.
     pub fn list<T: FromStr>(&mut self, section: &str, key: &str, expected: &str) -> Vec<T> {
-        let text = self.text(section, key, expected);
+        let text = self.required(section, key, expected);
         let mut values = Vec::new();
         for part in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
             match part.parse() {
                 Ok(value) => values.push(value),
-                Err(_) => self.fault(section, key, format!("{part:?}"), expected),
+                Err(_) => self.add_fault(section, key, format!("{part:?}"), expected),
             }
         }
         values
     }
 
-    /// All keys of a section whose keys are free.
+    /// All keys and values of a section that may have any keys.
     pub fn entries(&mut self, section: &str) -> Vec<(String, String)> {
         let Some(properties) = self.ini.section(Some(section)) else {
             return Vec::new();
@@ -219,42 +229,45 @@
         found
     }
 
-    /// The fleet's key, from the file that `[fleet] key_file` names.
+    /// Reads the fleet's key from the file that `[fleet] key_file` names.
     pub fn fleet_key(&mut self) -> Arc<[u8]> {
         let expected = "a file with at least 32 bytes, the same on every instance";
-        let path = self.text("fleet", "key_file", expected);
+        let path = self.required("fleet", "key_file", expected);
         if path.is_empty() {
             return Arc::from([]);
         }
         match std::fs::read(&path) {
-            Ok(bytes) if bytes.trim_ascii().len() >= KEY_BYTES => Arc::from(bytes.trim_ascii()),
+            Ok(bytes) if bytes.trim_ascii().len() >= MIN_KEY_BYTES => Arc::from(bytes.trim_ascii()),
             Ok(bytes) => {
                 let found = format!("{path:?} with {} bytes", bytes.trim_ascii().len());
-                self.fault("fleet", "key_file", found, expected);
+                self.add_fault("fleet", "key_file", found, expected);
                 Arc::from([])
             }
             Err(e) => {
-                self.fault("fleet", "key_file", format!("{path:?} ({e})"), expected);
+                self.add_fault("fleet", "key_file", format!("{path:?} ({e})"), expected);
                 Arc::from([])
             }
         }
     }
 
-    /// Ends the reading: unknown keys are faults too.
+    /// Adds a fault for each key that was not read.
+    ///
+    /// # Errors
+    /// Returns all faults, where there are any.
     pub fn finish(mut self) -> Result<(), SettingsError> {
         let mut unknown = Vec::new();
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or("");
             for (key, _) in properties.iter() {
-                let place = (section.to_string(), key.to_string());
-                if !self.used.contains(&place) {
-                    unknown.push(place);
+                let pair = (section.to_string(), key.to_string());
+                if !self.used.contains(&pair) {
+                    unknown.push(pair);
                 }
             }
         }
         for (section, key) in unknown {
             let known = self.known_keys(&section);
-            self.fault(&section, &key, "an unknown key", known);
+            self.add_fault(&section, &key, "an unknown key", known);
         }
         if self.faults.is_empty() {
             return Ok(());
@@ -276,7 +289,7 @@
         if keys.is_empty() {
             let sections: BTreeSet<_> = self.used.iter().map(|(s, _)| s.as_str()).collect();
             let names: Vec<_> = sections.into_iter().map(|s| format!("[{s}]")).collect();
-            return format!("a section out of {}", names.join(", "));
+            return format!("one of the sections {}", names.join(", "));
         }
         format!("one of {}", keys.join(", "))
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings in INI: read once, every value checked, all faults reported at once.
+//! Settings files in INI: read once at the start, every value checked, all faults reported
+//! together.
 
 mod agent_settings;
 mod direct_settings;
--- a/src/settings/router_settings.rs
+++ b/src/settings/router_settings.rs
@@ -9,35 +9,35 @@
 use crate::logic::router::RouterKnobs;
 use crate::wire::NetSettings;
 
-/// Length of a SHA-256 in hexadecimal.
-const TOKEN_HEX: usize = 64;
+/// Hexadecimal digits of a SHA-256 hash.
+const SHA256_DIGITS: usize = 64;
 
-/// Settings of a router.
+/// Settings of a router that reaches endpoints through agents.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// Own instance.
+    /// Id of the own instance.
     pub id: String,
-    /// Own data hall.
+    /// Data hall of the own instance.
     pub hall: String,
     /// The fleet's key.
     pub key: Arc<[u8]>,
-    /// Sessions with other processes.
+    /// Settings of the sessions with other processes.
     pub net: NetSettings,
     /// Address for callers.
     pub callers: SocketAddr,
     /// Address for operators.
     pub operator_listen: SocketAddr,
-    /// Operators' names with the SHA-256 of their tokens.
+    /// Operators' names with the SHA-256 hashes of their tokens.
     pub operators: Vec<(String, String)>,
-    /// The platform.
+    /// The platform's key-value service and instance list.
     pub platform: PlatformSettings,
-    /// Longest body of a caller's request, in bytes.
+    /// Maximum size of the body of a caller's request, in bytes.
     pub body_limit: usize,
-    /// Most callers' requests at once.
+    /// Maximum number of callers' requests at the same time.
     pub caller_limit: usize,
-    /// Receiver of statsd metrics.
+    /// Address of the statsd receiver; none where metrics are only kept.
     pub statsd: Option<SocketAddr>,
-    /// Numbers that decisions are made by.
+    /// Parameters of the router's decisions.
     pub knobs: RouterKnobs,
 }
 
@@ -62,16 +62,16 @@
 }
 
 impl RouterSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// Returns every fault of the file at once.
+    /// Returns all faults of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let mut ini = IniReader::open(path)?;
         let default = Self::default();
         let settings = Self {
-            id: ini.text("instance", "id", "the instance's name in the instance list"),
-            hall: ini.text("instance", "hall", "the name of the data hall"),
+            id: ini.required("instance", "id", "the instance's name in the instance list"),
+            hall: ini.required("instance", "hall", "the name of the data hall"),
             key: ini.fleet_key(),
             net: read_net(&mut ini),
             callers: ini.parsed(
@@ -103,14 +103,14 @@
                 "requests",
             ),
             statsd: ini.optional("metrics", "statsd", "an IP address and a port"),
-            knobs: read_knobs(&mut ini),
+            knobs: read_params(&mut ini),
         };
         ini.finish()?;
         Ok(settings)
     }
 }
 
-/// Reads what every process needs for its sessions.
+/// Reads the settings of sessions, which routers and agents share.
 pub(super) fn read_net(ini: &mut IniReader) -> NetSettings {
     let default = NetSettings::default();
     let idle = default.idle.as_millis() as u64;
@@ -141,10 +141,10 @@
 fn read_operators(ini: &mut IniReader) -> Vec<(String, String)> {
     let operators = ini.entries("operators");
     for (name, token) in &operators {
-        let hex = token.len() == TOKEN_HEX && token.chars().all(|c| c.is_ascii_hexdigit());
-        if !hex {
+        let is_hash = token.len() == SHA256_DIGITS && token.chars().all(|c| c.is_ascii_hexdigit());
+        if !is_hash {
             let found = format!("{} characters", token.len());
-            ini.fault(
+            ini.add_fault(
                 "operators",
                 name,
                 found,
@@ -152,21 +152,21 @@
             );
         }
     }
-    let lower = |(n, t): (String, String)| (n, t.to_ascii_lowercase());
-    operators.into_iter().map(lower).collect()
+    let lower_case = |(n, t): (String, String)| (n, t.to_ascii_lowercase());
+    operators.into_iter().map(lower_case).collect()
 }
 
 fn read_platform(ini: &mut IniReader) -> PlatformSettings {
     let default = PlatformSettings::default();
     let call = default.call.as_millis() as u64;
-    let list = ini.text(
+    let list = ini.required(
         "platform",
         "list",
         "the IP address and port of the instance list",
     );
     let list_addr = list.parse();
     if !list.is_empty() && list_addr.is_err() {
-        ini.fault(
+        ini.add_fault(
             "platform",
             "list",
             format!("{list:?}"),
@@ -197,12 +197,12 @@
     }
 }
 
-fn read_knobs(ini: &mut IniReader) -> RouterKnobs {
+fn read_params(ini: &mut IniReader) -> RouterKnobs {
     let d = RouterKnobs::default();
-    let mut ms = |section: &str, key: &str, default: u64, low: u64, high: u64| {
-        ini.number(section, key, default, low..=high, "milliseconds")
+    let mut ms = |section: &str, key: &str, default: u64, min: u64, max: u64| {
+        ini.number(section, key, default, min..=max, "milliseconds")
     };
-    let mut knobs = RouterKnobs {
+    let mut params = RouterKnobs {
         proof_ms: ms("bundles", "proof_ms", d.proof_ms, 200, 60_000),
         prove_ms: ms("bundles", "prove_ms", d.prove_ms, 50, 30_000),
         ask_ms: ms("bundles", "ask_ms", d.ask_ms, 50, 30_000),
@@ -220,31 +220,31 @@
         prefix_ms: ms("routing", "prefix_ms", d.prefix_ms, 0, 10_000),
         ..d.clone()
     };
-    knobs.plan_rate = ini.number(
+    params.plan_rate = ini.number(
         "planner",
         "writes_per_min",
         d.plan_rate,
         1..=6_000,
         "writes a minute",
     );
-    knobs.claim_batch = ini.number("claims", "batch", d.claim_batch, 1..=120, "claims");
-    knobs.claim_writers = ini.number("claims", "writers", d.claim_writers, 1..=64, "routers");
-    knobs.attempts = ini.number("requests", "attempts", d.attempts, 1..=20, "attempts");
-    knobs.request_limit = ini.number(
+    params.claim_batch = ini.number("claims", "batch", d.claim_batch, 1..=120, "claims");
+    params.claim_writers = ini.number("claims", "writers", d.claim_writers, 1..=64, "routers");
+    params.attempts = ini.number("requests", "attempts", d.attempts, 1..=20, "attempts");
+    params.request_limit = ini.number(
         "limits",
         "requests",
         d.request_limit,
         1..=1_000_000,
         "requests",
     );
-    knobs.far_groups = ini.number("routing", "far_groups", d.far_groups, 0..=10_000, "groups");
-    if knobs.ask_ms >= knobs.proof_ms {
-        let expected = format!("less than [bundles] proof_ms, which is {}", knobs.proof_ms);
-        ini.fault("bundles", "ask_ms", knobs.ask_ms, expected);
+    params.far_groups = ini.number("routing", "far_groups", d.far_groups, 0..=10_000, "groups");
+    if params.ask_ms >= params.proof_ms {
+        let expected = format!("less than [bundles] proof_ms, which is {}", params.proof_ms);
+        ini.add_fault("bundles", "ask_ms", params.ask_ms, expected);
     }
-    if knobs.prove_ms >= knobs.proof_ms {
-        let expected = format!("less than [bundles] proof_ms, which is {}", knobs.proof_ms);
-        ini.fault("bundles", "prove_ms", knobs.prove_ms, expected);
+    if params.prove_ms >= params.proof_ms {
+        let expected = format!("less than [bundles] proof_ms, which is {}", params.proof_ms);
+        ini.add_fault("bundles", "prove_ms", params.prove_ms, expected);
     }
-    knobs
+    params
 }
--- a/src/settings/settings_error.rs
+++ b/src/settings/settings_error.rs
@@ -1,12 +1,12 @@
 use super::SettingsFault;
 use std::fmt;
 
-/// Every fault of a settings file.
+/// All faults of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// Its faults, in order of place.
+    /// Its faults in order of lines; those without a line come last.
     pub faults: Vec<SettingsFault>,
 }
 
--- a/src/settings/settings_fault.rs
+++ b/src/settings/settings_fault.rs
@@ -3,13 +3,13 @@
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Line in the file; absent for a key that is missing.
+    /// Line in the file; none for a missing key.
     pub line: Option<usize>,
     /// Section and key, such as `[group] lease_ms`.
     pub place: String,
-    /// What stands there.
+    /// What the file holds there.
     pub found: String,
-    /// What may stand there, with its unit.
+    /// What is allowed there, with its unit.
     pub expected: String,
 }
 
