--- a/src/observe/event_log.rs
+++ b/src/observe/event_log.rs
@@ -4,41 +4,43 @@
 use crate::logic::Note;
 use crate::types::Millis;
 
-/// Events kept for `explain`.
-const KEPT: usize = 4_096;
+/// Maximum number of log events that are kept for `explain`.
+const MAX_KEPT: usize = 4_096;
 
-/// Writes notes to the log and keeps the latest for `explain`.
+/// Writes log events to the log and keeps the latest ones for `explain`.
 #[derive(Debug, Default)]
 pub struct EventLog {
     kept: VecDeque<LoggedNote>,
 }
 
 impl EventLog {
-    /// Writes a note.
-    pub fn write(&mut self, now: Millis, note: &Note) {
-        log::log!(target: "runrail", note.code.level(), "{note}");
-        if note.code.level() > log::Level::Info && !note.code.title().starts_with("request") {
+    /// Writes a log event. Events of the levels info, warn and error are kept, and those of any
+    /// level whose titles begin with `request`.
+    pub fn write(&mut self, now: Millis, event: &Note) {
+        log::log!(target: "runrail", event.code.level(), "{event}");
+        if event.code.level() > log::Level::Info && !event.code.title().starts_with("request") {
             return;
         }
-        if self.kept.len() >= KEPT {
+        if self.kept.len() >= MAX_KEPT {
             self.kept.pop_front();
         }
         self.kept.push_back(LoggedNote {
             at_ms: now,
-            number: note.code.number(),
-            text: note.to_string(),
-            about: note.fields.iter().map(|(_, v)| v.clone()).collect(),
+            number: event.code.number(),
+            text: event.to_string(),
+            about: event.fields.iter().map(|(_, v)| v.clone()).collect(),
         });
     }
 
-    /// The kept events that mention a subject, oldest first; all for an empty one.
+    /// The kept events of which a field is the subject or a list with it, oldest first; all
+    /// events for an empty subject.
     pub fn about(&self, subject: &str) -> Vec<LoggedNote> {
-        let hit = |n: &&LoggedNote| {
+        let mentions = |n: &&LoggedNote| {
             subject.is_empty()
                 || n.about
                     .iter()
                     .any(|v| v.split(',').any(|part| part.trim() == subject))
         };
-        self.kept.iter().filter(hit).cloned().collect()
+        self.kept.iter().filter(mentions).cloned().collect()
     }
 }
--- a/src/observe/exposition.rs
+++ b/src/observe/exposition.rs
@@ -1,24 +1,24 @@
-//! Figures as text that an ordinary scraper reads.
+//! Metrics in the text format that Prometheus scrapes.
 
 use std::fmt::Write;
 
 use super::{HistogramRow, LabelledCount};
 
-/// What comes before each name.
+/// Prefix of all metrics.
 const PREFIX: &str = "runrail_";
 
-/// Histograms and counters by client account and class, then figures of the process, then its
-/// counters.
+/// Returns the text of the metrics page: durations and counters by client account and class,
+/// then gauges of the process, then its counters.
 ///
-/// A duration has a summary of three quantiles in milliseconds; a counter ends in
+/// A duration is a summary with three quantiles in milliseconds. Names of counters end in
 /// `_total`.
 pub fn exposition(
     rows: &[HistogramRow],
-    figures: &[(&str, u64)],
-    counts: &[LabelledCount],
+    gauges: &[(&str, u64)],
+    counters: &[LabelledCount],
 ) -> String {
     let mut text = String::new();
-    let mut last = "";
+    let mut previous = "";
     for row in rows {
         let kind = if row.is_duration() {
             "summary"
@@ -29,49 +29,49 @@
             true => format!("{PREFIX}{}", row.metric),
             false => format!("{PREFIX}{}_total", row.metric),
         };
-        if row.metric != last {
-            line(&mut text, format_args!("# TYPE {name} {kind}"));
-            last = &row.metric;
+        if row.metric != previous {
+            write_line(&mut text, format_args!("# TYPE {name} {kind}"));
+            previous = &row.metric;
         }
         let labels = format!("account={:?},class={:?}", row.account, row.class);
         if !row.is_duration() {
-            line(&mut text, format_args!("{name}{{{labels}}} {}", row.count));
+            write_line(&mut text, format_args!("{name}{{{labels}}} {}", row.count));
             continue;
         }
         for (quantile, value) in [("0.5", row.p50), ("0.95", row.p95), ("0.99", row.p99)] {
             let labels = format!("{labels},quantile={quantile:?}");
-            line(&mut text, format_args!("{name}{{{labels}}} {value}"));
+            write_line(&mut text, format_args!("{name}{{{labels}}} {value}"));
         }
-        line(
+        write_line(
             &mut text,
             format_args!("{name}_count{{{labels}}} {}", row.count),
         );
     }
-    for (name, value) in figures {
-        line(&mut text, format_args!("# TYPE {PREFIX}{name} gauge"));
-        line(&mut text, format_args!("{PREFIX}{name} {value}"));
+    for (name, value) in gauges {
+        write_line(&mut text, format_args!("# TYPE {PREFIX}{name} gauge"));
+        write_line(&mut text, format_args!("{PREFIX}{name} {value}"));
     }
-    let mut last = "";
-    for count in counts {
-        let name = count.name;
-        if name != last {
-            line(
+    let mut previous = "";
+    for counter in counters {
+        let name = counter.name;
+        if name != previous {
+            write_line(
                 &mut text,
                 format_args!("# TYPE {PREFIX}{name}_total counter"),
             );
-            last = name;
+            previous = name;
         }
-        let [(a, x), (b, y)] = count.labels;
-        let labels = format!("{a}={x:?},{b}={y:?}");
-        line(
+        let [(name_a, a), (name_b, b)] = counter.labels;
+        let labels = format!("{name_a}={a:?},{name_b}={b:?}");
+        write_line(
             &mut text,
-            format_args!("{PREFIX}{name}_total{{{labels}}} {}", count.count),
+            format_args!("{PREFIX}{name}_total{{{labels}}} {}", counter.count),
         );
     }
     text
 }
 
-fn line(text: &mut String, words: std::fmt::Arguments<'_>) {
+fn write_line(text: &mut String, line: std::fmt::Arguments<'_>) {
     // Writing to a string can't fail.
-    let _ = writeln!(text, "{words}");
+    let _ = writeln!(text, "{line}");
 }
--- a/src/observe/histograms.rs
+++ b/src/observe/histograms.rs
@@ -6,25 +6,27 @@
 
 use crate::logic::router::Metric;
 
-/// Longest duration that a histogram tells apart, in milliseconds.
-const HIGHEST_MS: u64 = 3_600_000;
-/// Significant digits.
-const DIGITS: u8 = 2;
-/// Most pairs of client account and class; further ones share one row.
-const ROW_LIMIT: usize = 256;
-/// Name of the row that further pairs share.
+/// Upper bound of a histogram; longer durations are recorded as this one.
+const MAX_DURATION_MS: u64 = 3_600_000;
+/// Significant decimal digits of the values in a histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Maximum number of rows, each of a metric, client account and class. Further ones share one
+/// row for each metric.
+const MAX_ROWS: usize = 256;
+/// Account and class of a shared row.
 const OTHER: &str = "other";
 
 type RowKey = (Metric, Arc<str>, Arc<str>);
 
-/// Histograms and counts per client account and class, bounded in number.
+/// Histograms of durations, and counters, by metric, client account and class; bounded in
+/// number.
 #[derive(Debug, Default)]
 pub struct Histograms {
     durations: BTreeMap<RowKey, Histogram<u64>>,
-    counts: BTreeMap<RowKey, u64>,
+    counters: BTreeMap<RowKey, u64>,
 }
 
-/// One row as operators see it.
+/// One row of the metrics that operators read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramRow {
     /// Metric.
@@ -33,18 +35,18 @@
     pub account: String,
     /// Class.
     pub class: String,
-    /// Number of values.
+    /// Number of durations, or the value of a counter.
     pub count: u64,
-    /// Median in milliseconds; 0 for a count.
+    /// Median in milliseconds; 0 for a counter.
     pub p50: u64,
-    /// 95 of 100 values are at most this.
+    /// 95th percentile in milliseconds; 0 for a counter.
     pub p95: u64,
-    /// 99 of 100 values are at most this.
+    /// 99th percentile in milliseconds; 0 for a counter.
     pub p99: u64,
 }
 
 impl HistogramRow {
-    /// Whether it holds durations; else it counts.
+    /// Whether the row is of durations rather than a counter.
     pub fn is_duration(&self) -> bool {
         let durations = [Metric::FirstPiece, Metric::Total];
         durations.iter().any(|m| m.name() == self.metric)
@@ -52,23 +54,23 @@
 }
 
 impl Histograms {
-    /// Records a value.
+    /// Records a duration in milliseconds, or adds a value to a counter.
     pub fn record(&mut self, metric: Metric, account: &Arc<str>, class: &Arc<str>, value: u64) {
         let mut key = (metric, account.clone(), class.clone());
-        let rows = self.durations.len() + self.counts.len();
-        let known = self.durations.contains_key(&key) || self.counts.contains_key(&key);
-        if !known && rows >= ROW_LIMIT {
+        let rows = self.durations.len() + self.counters.len();
+        let known = self.durations.contains_key(&key) || self.counters.contains_key(&key);
+        if !known && rows >= MAX_ROWS {
             key = (metric, Arc::from(OTHER), Arc::from(OTHER));
         }
         if !metric.is_duration() {
-            *self.counts.entry(key).or_insert(0) += value;
+            *self.counters.entry(key).or_insert(0) += value;
             return;
         }
         let histogram = self.durations.entry(key).or_insert_with(new_histogram);
         histogram.saturating_record(value);
     }
 
-    /// All rows in order of metric, account and class.
+    /// All rows: durations first, then counters, both in order of metric, account and class.
     pub fn rows(&self) -> Vec<HistogramRow> {
         let durations = self.durations.iter().map(|(key, h)| {
             let quantile = |q| h.value_at_quantile(q);
@@ -78,14 +80,15 @@
                 [quantile(0.5), quantile(0.95), quantile(0.99)],
             )
         });
-        let counts = self.counts.iter().map(|(key, n)| row(key, *n, [0; 3]));
-        durations.chain(counts).collect()
+        let counters = self.counters.iter().map(|(key, n)| row(key, *n, [0; 3]));
+        durations.chain(counters).collect()
     }
 }
 
 fn new_histogram() -> Histogram<u64> {
     // Invariant: the constants above form a valid range.
-    Histogram::new_with_bounds(1, HIGHEST_MS, DIGITS).expect("histogram bounds are constants")
+    Histogram::new_with_bounds(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
+        .expect("histogram bounds are constants")
 }
 
 fn row(key: &RowKey, count: u64, quantiles: [u64; 3]) -> HistogramRow {
--- a/src/observe/labelled_count.rs
+++ b/src/observe/labelled_count.rs
@@ -1,10 +1,10 @@
 /// A counter with two labels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LabelledCount {
-    /// Name of the counter, without what all names begin and end with.
+    /// Name of the counter, without the prefix and suffix that are added on the metrics page.
     pub name: &'static str,
     /// Names and values of its labels.
     pub labels: [(&'static str, &'static str); 2],
-    /// How many so far.
+    /// Value of the counter.
     pub count: u64,
 }
--- a/src/observe/logged_note.rs
+++ b/src/observe/logged_note.rs
@@ -1,15 +1,15 @@
 use crate::types::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A note with the time at which it was written.
+/// A log event with the time at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedNote {
     /// Milliseconds since the process started.
     pub at_ms: Millis,
-    /// Number in the catalogue.
+    /// Number of the event in the catalogue.
     pub number: u16,
-    /// Whole text, with its fields.
+    /// Title and fields as one line.
     pub text: String,
-    /// Values of its fields, for searching.
+    /// Values of its fields, for the search by subject.
     pub about: Vec<String>,
 }
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -8,10 +8,11 @@
 use super::{HistogramRow, Histograms};
 use crate::logic::router::Metric;
 
-/// Values that may wait for the metrics socket.
-const QUEUE: usize = 4_096;
+/// Maximum number of values that wait to be sent to the statsd receiver.
+const MAX_QUEUED: usize = 4_096;
 
-/// Metrics of a process: sent by statsd where a receiver is set, kept as histograms.
+/// Metrics of a process: kept as histograms and counters, and sent to a statsd receiver where
+/// one is set.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -19,10 +20,10 @@
 }
 
 impl Metrics {
-    /// Metrics that go to `receiver`, or are only kept where there is none.
+    /// Creates metrics that are sent to `receiver`, or only kept where there is none.
     ///
     /// # Errors
-    /// Returns the error of the socket.
+    /// Returns the error where the socket can't be opened.
     pub fn new(receiver: Option<SocketAddr>) -> std::io::Result<Self> {
         let client = match receiver {
             None => StatsdClient::from_sink("runrail", NopMetricSink),
@@ -30,7 +31,7 @@
                 let socket = UdpSocket::bind(("0.0.0.0", 0))?;
                 socket.set_nonblocking(true)?;
                 let sink = UdpMetricSink::from(addr, socket).map_err(std::io::Error::other)?;
-                let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
+                let sink = QueuingMetricSink::with_capacity(sink, MAX_QUEUED);
                 StatsdClient::from_sink("runrail", sink)
             }
         };
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Records a value of a request.
+    /// Records a value of a request: a duration in milliseconds, or an addition to a counter.
     pub fn record(&mut self, metric: Metric, account: &Arc<str>, class: &Arc<str>, value: u64) {
         self.histograms.record(metric, account, class, value);
         let name = metric.name();
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Counts an event of the process itself.
+    /// Sends an event of the process itself as a count of 1; it isn't kept.
     pub fn count(&self, name: &str) {
-        // A metric that can't be sent is not worth an error.
+        // Errors are ignored: a lost metric does no harm.
         let _ = self.client.incr(name);
     }
 
-    /// Rows of the histograms.
+    /// Rows of the histograms and counters.
     pub fn rows(&self) -> Vec<HistogramRow> {
         self.histograms.rows()
     }
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What a process shows of itself: log, record of events, metrics.
+//! Observability of a process: log, recent log events, metrics.
 
 mod event_log;
 mod exposition;
