--- a/tests/direct/adapter.rs
+++ b/tests/direct/adapter.rs
@@ -1,4 +1,4 @@
-//! What the adapter makes of the platform's messages.
+//! Conversion of the platform's messages by the platform adapter.
 
 use bytes::Bytes;
 use http::{HeaderValue, Request, StatusCode};
@@ -69,11 +69,11 @@
     assert_eq!(id.as_str(), "i-1");
     assert!(endpoint.leaving);
     assert_eq!(endpoint.born, Some(1_790_000_000_000));
-    let seat = endpoint.seat.expect("a place");
+    let seat = endpoint.seat.expect("a seat");
     assert_eq!((seat.epoch, seat.state), (12, SeatState::Open));
 }
 
-fn call() -> http::request::Parts {
+fn caller_request() -> http::request::Parts {
     let request = Request::builder()
         .method("POST")
         .uri("/x/1?q=2")
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_clients_request_is_read() {
-    let read = (dialect().request)(&call(), b"");
+    let read = (dialect().request)(&caller_request(), b"");
     assert_eq!(
         (read.host.as_str(), read.path.as_str()),
         ("a.example", "/x/1")
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_limit_of_requests_a_second_is_read_or_told_to_be_wrong() {
+fn a_limit_of_requests_a_second_is_parsed_or_an_error() {
     let read = |text: &str| {
         let mut headers = http::HeaderMap::new();
         let value = text.parse().expect("a value");
@@ -127,19 +127,19 @@
 
 #[test]
 fn a_request_that_is_sent_again_has_the_same_fingerprint() {
-    let of = |head: &http::request::Parts, body: &[u8], account| {
+    let fingerprint = |head: &http::request::Parts, body: &[u8], account| {
         let read = (dialect().request)(head, body);
         read.content.by(account)
     };
-    let first = of(&call(), b"body", Some("ann"));
-    let mut again = call();
+    let first = fingerprint(&caller_request(), b"body", Some("ann"));
+    let mut second = caller_request();
     let attempt = http::HeaderValue::from_static("another-attempt");
-    again.headers.insert("x-attempt-id", attempt);
-    assert_eq!(of(&again, b"body", Some("ann")), first);
-    assert_ne!(of(&again, b"bodies", Some("ann")), first);
-    assert_ne!(of(&again, b"body", Some("ben")), first);
-    again.uri = "/another/path".parse().expect("a path");
-    assert_ne!(of(&again, b"body", Some("ann")), first);
+    second.headers.insert("x-attempt-id", attempt);
+    assert_eq!(fingerprint(&second, b"body", Some("ann")), first);
+    assert_ne!(fingerprint(&second, b"bodies", Some("ann")), first);
+    assert_ne!(fingerprint(&second, b"body", Some("ben")), first);
+    second.uri = "/another/path".parse().expect("a path");
+    assert_ne!(fingerprint(&second, b"body", Some("ann")), first);
 }
 
 #[test]
@@ -156,7 +156,7 @@
         stream: true,
         careful: false,
     };
-    let sent = (dialect().run)(&run, &call(), Bytes::from_static(b"body"));
+    let sent = (dialect().run)(&run, &caller_request(), Bytes::from_static(b"body"));
     let text = |name: &str| {
         let values: Vec<_> = sent.headers().get_all(name).iter().collect();
         assert!(values.len() <= 1, "{name} twice");
@@ -169,13 +169,13 @@
     assert_eq!(text("last-event-id").as_deref(), Some("12"));
     assert_eq!(text("x-attempt-id").as_deref(), Some("abc"));
     assert_eq!(text("x-kept").as_deref(), Some("yes"));
-    for gone in ["authorization", "connection", "x-private"] {
-        assert_eq!(text(gone), None, "{gone}");
+    for removed in ["authorization", "connection", "x-private"] {
+        assert_eq!(text(removed), None, "{removed}");
     }
 }
 
 #[test]
-fn an_answer_for_another_request_is_foreign_and_a_shed_is_a_promise() {
+fn an_answer_for_another_request_is_foreign_and_a_refusal_means_not_run() {
     let head = |status: u16, headers: &[(&'static str, &str)]| {
         let mut response = http::Response::new(());
         *response.status_mut() = StatusCode::from_u16(status).expect("a status");
@@ -194,8 +194,8 @@
         )
         .foreign
     );
-    let shed = head(503, &[("x-not-run", "1")]);
-    assert!(shed.not_run && !shed.foreign);
+    let refused = head(503, &[("x-not-run", "1")]);
+    assert!(refused.not_run && !refused.foreign);
     assert!(head(421, &[]).not_run);
     let ran = head(503, &[("x-attempt-id", "abc")]);
     assert!(!ran.not_run);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn only_what_did_not_run_is_answered_with_a_promise() {
+fn only_requests_that_did_not_run_are_answered_with_503() {
     let status = |p| (dialect().problem)(p).status().as_u16();
     assert_eq!(status(Problem::NotRun(500)), 503);
     assert_eq!(status(Problem::NotYet(1)), 503);
@@ -277,18 +277,18 @@
             ..
         }
     ));
-    let unread = (dialect().reply_of)(&swap, StatusCode::OK, b"{}").expect_err("no revision");
-    assert!(unread.contains("Revision"), "{unread}");
+    let error = (dialect().reply_of)(&swap, StatusCode::OK, b"{}").expect_err("no revision");
+    assert!(error.contains("Revision"), "{error}");
     let held = r#"{"Items":[{"Key":"k","Value":"eA==","Revision":5,"Created":5,"Lease":0}]}"#;
-    let refused = reply(412, held).expect("an answer");
+    let conflict = reply(412, held).expect("an answer");
     assert!(
-        matches!(refused, StoreReply::Swapped { done: false, ref entries, .. } if entries[0].value == "x")
+        matches!(conflict, StoreReply::Swapped { done: false, ref entries, .. } if entries[0].value == "x")
     );
     assert!(reply(503, "").is_err() && reply(429, "").is_err());
     let ended = (dialect().reply_of)(&StoreCall::Renew { lease: 4 }, StatusCode::NOT_FOUND, b"");
     assert_eq!(ended, Ok(Ok(StoreReply::Lease { lease: 4, ttl_s: 0 })));
-    let gone = (dialect().watched)(StatusCode::GONE, b"{}");
-    assert_eq!(gone, Ok(Watched::Forgotten));
+    let compacted = (dialect().watched)(StatusCode::GONE, b"{}");
+    assert_eq!(compacted, Ok(Watched::Forgotten));
     let events = br#"{"events":[{"Key":"a","Value":"eA==","Revision":4},{"Key":"b","Revision":5,"Removed":true}],"AsOf":6}"#;
     match (dialect().watched)(StatusCode::OK, events) {
         Ok(Watched::Changes { revision, changes }) => {
@@ -300,7 +300,7 @@
     }
 }
 
-/// The era of an answer is read strictly; a store that never goes back names none.
+/// Only whole numbers are eras. A store that is never restored from a backup may name none.
 #[test]
 fn the_era_of_an_answer_is_a_whole_number_or_absent() {
     let era = |value: &str| {
--- a/tests/direct/command_line.rs
+++ b/tests/direct/command_line.rs
@@ -1,4 +1,4 @@
-//! Settings and the command line for direct links.
+//! Command line of a direct router: `check` of its settings, and `explain` of a log file.
 
 use std::process::{Command, Output};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn five_faults_are_named_in_one_go() {
+fn five_faults_are_reported_together() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("wrong.ini");
     let text = "[instance]\nid = a\n[listen]\ncallers = here\n[direct]\nstore = 1.2.3.4\nfirst_start = maybe\n\
@@ -25,9 +25,9 @@
     std::fs::write(&file, text).expect("a file");
     let output = run(&["check", "--settings", &file.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).to_string();
+    let errors = String::from_utf8_lossy(&output.stderr).to_string();
     for place in ["hall", "callers", "store", "first_start", "lease_ms"] {
-        assert!(told.contains(place), "{place}: {told}");
+        assert!(errors.contains(place), "{place}: {errors}");
     }
 }
 
@@ -58,12 +58,13 @@
         std::fs::write(&file, text).expect("a file");
         let output = run(&["check", "--settings", &file.display().to_string()]);
         assert_eq!(output.status.code(), Some(code), "{output:?}");
-        let told = String::from_utf8_lossy(&output.stderr).to_string();
-        assert!(code == 0 || (told.contains("luck") && told.contains("freeing")));
+        let errors = String::from_utf8_lossy(&output.stderr).to_string();
+        assert!(code == 0 || (errors.contains("luck") && errors.contains("freeing")));
     }
 }
 
-/// The tool that measures mechanisms, and the sample of the settings, name them all.
+/// The tool that measures mechanisms and the sample settings list all mechanisms, so that a new
+/// one is not forgotten there.
 #[test]
 fn the_tool_and_the_sample_name_every_mechanism() {
     let read = |file: &str| {
--- a/tests/direct/fields.rs
+++ b/tests/direct/fields.rs
@@ -1,29 +1,29 @@
-//! Every field of the platform's documents: taken away, misspelt, of a wrong type.
+//! Each field of the platform's documents: removed, in another spelling, of a wrong type.
 
 use runrail::logic::router::StoreEntry;
 use runrail::platform::dialect;
 use serde_json::{json, Value};
 
-/// Fields that may be absent without a word, each with its reason.
+/// Fields that may be absent without an error or a missing value, each with its reason.
 const OPTIONAL: [(&str, &str); 12] = [
     ("Routes[0].Resumable", "absent means no"),
     ("Routes[0].Public", "absent means no"),
     ("Routes[0].Sticky", "isn't used"),
-    ("Routes[0].Priority", "the middle of the ranks"),
-    ("Routes[1].GapTargetMs", "pauses mean nothing on this route"),
+    ("Routes[0].Priority", "the middle priority is the default"),
+    ("Routes[1].GapTargetMs", "this route doesn't stream"),
     ("Services[0].HealthPath", "isn't used"),
     ("Services[0].Engine.chunk", "isn't used"),
-    ("Limits", "a route without limits has the usual ones"),
-    ("Tenants", "without accounts nobody needs a key"),
+    ("Limits", "the defaults are used"),
+    ("Tenants", "without accounts no caller needs a key"),
     (
         "Tenants[0].ApiKeys",
-        "an account without keys is used by nobody",
+        "no caller can use an account without keys",
     ),
-    ("Tenants[0].Priority", "the route's rank"),
+    ("Tenants[0].Priority", "the route's priority is used"),
     ("Services[0].Engine", "a plain service"),
 ];
 
-/// Lists that may be empty: an early document has no routes and no services yet.
+/// Lists that may be empty: an early configuration has no routes or services yet.
 const LISTS: [&str; 3] = ["Routes", "Services", "Services[0].Engine.Models"];
 
 fn config() -> Value {
@@ -51,33 +51,33 @@
     })
 }
 
-/// Places of all fields, lists and objects among them.
-fn places(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Adds the paths of all fields to `found`, lists and objects included.
+fn add_paths(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             for (name, inner) in fields {
-                let place = if at.is_empty() {
+                let path = if at.is_empty() {
                     name.clone()
                 } else {
                     format!("{at}.{name}")
                 };
-                found.push(place.clone());
-                places(inner, &place, found);
+                found.push(path.clone());
+                add_paths(inner, &path, found);
             }
         }
         Value::Array(items) => {
             for (n, inner) in items.iter().enumerate() {
-                places(inner, &format!("{at}[{n}]"), found);
+                add_paths(inner, &format!("{at}[{n}]"), found);
             }
         }
         _ => {}
     }
 }
 
-/// The object that holds a field, and the field's name.
-fn holder<'a>(document: &'a mut Value, place: &str) -> (&'a mut Value, String) {
-    let (path, name) = place.rsplit_once('.').unwrap_or(("", place));
-    let pointer: String = path
+/// The object that holds the field at a path, and the field's name.
+fn holder<'a>(document: &'a mut Value, path: &str) -> (&'a mut Value, String) {
+    let (parent, name) = path.rsplit_once('.').unwrap_or(("", path));
+    let pointer: String = parent
         .replace('[', ".")
         .replace(']', "")
         .split('.')
@@ -88,24 +88,27 @@
     (holder, name.to_string())
 }
 
-fn all_places() -> Vec<String> {
+fn all_paths() -> Vec<String> {
     let mut found = Vec::new();
-    places(&config(), "", &mut found);
+    add_paths(&config(), "", &mut found);
     found
 }
 
 #[test]
-fn a_field_that_is_missing_is_an_error_or_a_recorded_gap_that_names_its_place() {
-    for place in all_places() {
+fn a_field_that_is_missing_is_an_error_or_a_recorded_missing_value_that_names_its_place() {
+    for path in all_paths() {
         let mut document = config();
-        let (holder, name) = holder(&mut document, &place);
+        let (holder, name) = holder(&mut document, &path);
         holder.as_object_mut().expect("an object").remove(&name);
-        let allowed = OPTIONAL.iter().any(|(o, _)| *o == place) || LISTS.contains(&&*place);
+        let allowed = OPTIONAL.iter().any(|(o, _)| *o == path) || LISTS.contains(&&*path);
         match (dialect().routing)(&document.to_string()) {
-            Err(error) => assert!(error.contains(&name) || name == "Split", "{place}: {error}"),
+            Err(error) => assert!(error.contains(&name) || name == "Split", "{path}: {error}"),
             Ok(routing) => {
-                let told = routing.gaps.iter().any(|g| g.place.starts_with(&place));
-                assert!(told || allowed, "{place} was read as something else");
+                let recorded = routing.gaps.iter().any(|g| g.place.starts_with(&path));
+                assert!(
+                    recorded || allowed,
+                    "{path}: neither an error nor a missing value"
+                );
             }
         }
     }
@@ -130,15 +133,15 @@
             .map(|p| p[..1].to_uppercase() + &p[1..])
             .collect()
     };
-    for place in all_places() {
+    for path in all_paths() {
         for spelling in [&snake as &dyn Fn(&str) -> String, &camel] {
             let mut document = config();
-            let (holder, name) = holder(&mut document, &place);
+            let (holder, name) = holder(&mut document, &path);
             let fields = holder.as_object_mut().expect("an object");
             let value = fields.remove(&name).expect("the field");
             fields.insert(spelling(&name), value);
             let read = (dialect().routing)(&document.to_string()).expect("readable");
-            assert_eq!(read, expected, "{place}");
+            assert_eq!(read, expected, "{path}");
         }
     }
 }
@@ -150,21 +153,21 @@
         "Services[0].HealthPath",
         "Services[0].Engine.chunk",
     ];
-    for place in all_places() {
+    for path in all_paths() {
         let mut document = config();
-        let (holder, name) = holder(&mut document, &place);
+        let (holder, name) = holder(&mut document, &path);
         holder[&name] = json!([[1]]);
         let read = (dialect().routing)(&document.to_string());
-        if unused.contains(&&*place) || (place == "Routes[1].Service" && read.is_ok()) {
+        if unused.contains(&&*path) || (path == "Routes[1].Service" && read.is_ok()) {
             continue;
         }
-        let error = read.expect_err(&place);
-        assert!(error.contains(&name), "{place}: {error}");
+        let error = read.expect_err(&path);
+        assert!(error.contains(&name), "{path}: {error}");
     }
 }
 
 #[test]
-fn a_rate_of_zero_is_a_gap_and_not_a_bound_of_nothing() {
+fn a_rate_of_zero_counts_as_missing_and_the_default_is_used() {
     let mut document = config();
     document["Services"][0]["Engine"]["read_per_s"] = json!(0.0);
     let routing = (dialect().routing)(&document.to_string()).expect("readable");
@@ -190,31 +193,31 @@
     };
     assert!(read(&entry).is_ok());
     let mut found = Vec::new();
-    places(&entry, "", &mut found);
-    // A plain service has none of these; a place in a group without a name is none; not all
-    // platforms tell when a life began.
+    add_paths(&entry, "", &mut found);
+    // A plain service has none of these but `born`, which not all platforms give. A group
+    // without a name counts as no group.
     let optional = ["born", "Domain", "Staged", "Models", "group", "group.Name"];
-    for place in found {
-        let mut odd = entry.clone();
-        let (within, name) = holder(&mut odd, &place);
-        within[&name] = json!(true);
-        let error = read(&odd).expect_err(&place);
-        assert!(error.contains(&name), "{place} of another type: {error}");
+    for path in found {
+        let mut wrong_type = entry.clone();
+        let (parent, name) = holder(&mut wrong_type, &path);
+        parent[&name] = json!(true);
+        let error = read(&wrong_type).expect_err(&path);
+        assert!(error.contains(&name), "{path} of another type: {error}");
         let mut entry = entry.clone();
-        let (holder, name) = holder(&mut entry, &place);
+        let (holder, name) = holder(&mut entry, &path);
         holder.as_object_mut().expect("an object").remove(&name);
         match read(&entry) {
-            Ok(_) => assert!(optional.contains(&&*place), "{place}"),
+            Ok(_) => assert!(optional.contains(&&*path), "{path}"),
             Err(error) => assert!(
                 error.contains("servers/i-1") && error.contains(&name),
-                "{place}: {error}"
+                "{path}: {error}"
             ),
         }
     }
     let mut fraction = entry.clone();
     fraction["born"] = json!(1_790_000_000_000.5);
     assert!(read(&fraction).expect_err("born").contains("born"));
-    let mut wrong = entry.clone();
-    wrong["State"] = json!("asleep");
-    assert!(read(&wrong).expect_err("a state").contains("asleep"));
+    let mut wrong_state = entry.clone();
+    wrong_state["State"] = json!("asleep");
+    assert!(read(&wrong_state).expect_err("a state").contains("asleep"));
 }
--- a/tests/direct/settings.rs
+++ b/tests/direct/settings.rs
@@ -1,12 +1,12 @@
-//! Settings as a platform fills them in: fractions, empty ones, zeros, very large ones.
+//! Numbers that a platform fills into the settings: fractions, empty, zero and very large.
 
 use std::process::Command;
 
 use runrail::logic::direct::{DirectKnobs, RetryTerms, RetryWindow};
 use runrail::settings::DirectSettings;
 
-/// Figures that the platform fills into the template.
-const FIGURES: [&str; 8] = [
+/// Numbers that the platform fills into the template.
+const NUMBERS: [&str; 8] = [
     "Platform.ReadsPerS",
     "Bounds.DrainMs",
     "Bounds.ConfigApplyMs",
@@ -17,8 +17,8 @@
     "Bounds.GraceS",
 ];
 
-/// The template with every gap filled, one of them by `value`.
-fn filled(field: &str, value: &str) -> String {
+/// The template with all placeholders filled in, that of `field` with `value`.
+fn fill_template(field: &str, value: &str) -> String {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/router.ini");
     let mut text = std::fs::read_to_string(file).expect("the template");
     text = text.replace(&format!("{{{{{field}}}}}"), value);
@@ -34,12 +34,12 @@
     ] {
         text = text.replace(&format!("{{{{{name}}}}}"), usual);
     }
-    for name in FIGURES {
+    for name in NUMBERS {
         text = text.replace(&format!("{{{{{name}}}}}"), "10");
     }
     assert!(
         !text.contains("{{"),
-        "a field that this test doesn't know: {text}"
+        "a placeholder that this test doesn't know: {text}"
     );
     text
 }
@@ -53,9 +53,9 @@
 
 #[test]
 fn every_figure_of_the_platform_may_be_a_fraction_zero_huge_or_missing() {
-    for field in FIGURES {
+    for field in NUMBERS {
         for value in ["57.35", "0", "1e300", ""] {
-            let read = load(&filled(field, value));
+            let read = load(&fill_template(field, value));
             let settings = read.unwrap_or_else(|why| panic!("{field} = {value:?}: {why}"));
             assert_eq!(
                 settings.gaps.len(),
@@ -68,9 +68,9 @@
 
 #[test]
 fn what_is_no_number_or_below_zero_is_a_fault_with_its_place() {
-    for field in FIGURES {
+    for field in NUMBERS {
         for value in ["-1", "NaN", "many"] {
-            let why = load(&filled(field, value)).expect_err(field);
+            let why = load(&fill_template(field, value)).expect_err(field);
             assert!(why.contains(&format!("{value:?}")), "{field}: {why}");
         }
     }
@@ -78,33 +78,36 @@
 
 #[test]
 fn figures_keep_their_fractions() {
-    let extra = load(&filled("Bounds.BudgetExtra", "57.35")).expect("good");
+    let extra = load(&fill_template("Bounds.BudgetExtra", "57.35")).expect("good");
     assert_eq!(extra.knobs.retry_extra, 57_350);
-    let window = load(&filled("Bounds.BudgetWindowS", "2.5")).expect("good");
+    let window = load(&fill_template("Bounds.BudgetWindowS", "2.5")).expect("good");
     assert_eq!(window.knobs.retry_window, 2_500);
-    let none = load(&filled("Bounds.RetryBudgetRatio", "0")).expect("good");
-    assert_eq!(none.knobs.retry_ratio, 0, "no retry is not the usual share");
+    let none = load(&fill_template("Bounds.RetryBudgetRatio", "0")).expect("good");
+    assert_eq!(
+        none.knobs.retry_ratio, 0,
+        "0 must not become the default ratio"
+    );
 }
 
 #[test]
 fn a_figure_that_is_left_empty_is_told_by_check() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("router.ini");
-    std::fs::write(&file, filled("Bounds.BudgetExtra", "")).expect("a file");
+    std::fs::write(&file, fill_template("Bounds.BudgetExtra", "")).expect("a file");
     let output = Command::new(env!("CARGO_BIN_EXE_runrail"))
         .args(["check", "--settings", &file.display().to_string()])
         .output()
         .expect("the binary runs");
-    let told = String::from_utf8_lossy(&output.stdout);
+    let text = String::from_utf8_lossy(&output.stdout);
     assert!(
-        told.contains("[retries] extra: found nothing, 160 retries is used"),
-        "{told}"
+        text.contains("[retries] extra: found nothing, 160 retries is used"),
+        "{text}"
     );
 }
 
-/// Retries without any request: the fixed number alone.
-fn fixed(routers: u64, extra: u64) -> u64 {
-    let mut all = 0;
+/// Retries that so many routers allow together without any request: the fixed number alone.
+fn count_retries(routers: u64, extra: u64) -> u64 {
+    let mut count = 0;
     for _ in 0..routers {
         let mut window = RetryWindow::default();
         let knobs = DirectKnobs {
@@ -113,21 +116,21 @@
         };
         let terms = RetryTerms::new(&knobs, routers);
         while window.retry(1_000, &terms) {
-            all += 1;
+            count += 1;
         }
     }
-    all
+    count
 }
 
 #[test]
 fn however_many_routers_there_are_they_keep_to_the_fixed_number_together() {
     for routers in [1, 5, 16, 52, 400] {
-        let all = fixed(routers, 390_000);
-        assert!(all <= 390, "{routers} routers: {all}");
+        let count = count_retries(routers, 390_000);
+        assert!(count <= 390, "{routers} routers: {count}");
     }
     assert_eq!(
-        fixed(5, 57_350),
+        count_retries(5, 57_350),
         15,
-        "each its part of 57.35, whole retries only"
+        "each router has its part of 57.35, rounded down to whole retries"
     );
 }
