--- a/tests/direct/settings.rs
+++ b/tests/direct/settings.rs
@@ -22,7 +22,7 @@
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/router.ini");
     let mut text = std::fs::read_to_string(file).expect("the template");
     text = text.replace(&format!("{{{{{field}}}}}"), value);
-    for (name, usual) in [
+    for (name, content) in [
         ("Node", "front-1"),
         ("Zone", "hall-a"),
         ("Listen.Front", "10.0.0.1:80"),
@@ -32,7 +32,7 @@
         ("Platform.Address", "10.0.0.2:80"),
         ("FirstStart", "true"),
     ] {
-        text = text.replace(&format!("{{{{{name}}}}}"), usual);
+        text = text.replace(&format!("{{{{{name}}}}}"), content);
     }
     for name in NUMBERS {
         text = text.replace(&format!("{{{{{name}}}}}"), "10");
