--- a/testkit/src/soak/client.rs
+++ b/testkit/src/soak/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Outcome;
-use crate::direct::{request, EVENTS};
+use crate::direct::{format_request, EVENTS};
 
 /// Longest time for a connection to come up.
 const CONNECT: Duration = Duration::from_millis(300);
@@ -46,7 +46,7 @@
     /// Sends a request and reads its answer.
     pub fn ask(&mut self, kind: &'static str, attempt: &str, body: &str) -> Outcome {
         let route = if kind == "fatal" { "stream" } else { kind };
-        let text = request("POST", &format!("/{route}/x"), attempt, "keep-alive", body);
+        let text = format_request("POST", &format!("/{route}/x"), attempt, "keep-alive", body);
         let written = self.reader.get_mut().write_all(text.as_bytes());
         match written.ok().and_then(|()| self.answer()) {
             Some(answer) => outcome(route, &answer),
--- a/testkit/src/soak/driver.rs
+++ b/testkit/src/soak/driver.rs
@@ -294,7 +294,7 @@
     fn limit_endpoint(&self, n: usize, rate: f64, ms: u64) {
         let id = format!("p{}", n % 2);
         let (from_ms, since) = (self.now(), Instant::now());
-        if self.standin.world().limited(&id) {
+        if self.standin.world().has_limit(&id) {
             return;
         }
         self.standin.world().limit(&id, Some(rate));
--- a/testkit/src/soak/run.rs
+++ b/testkit/src/soak/run.rs
@@ -7,7 +7,7 @@
 use super::client::Connection;
 use super::driver::{lock, Driver, Slot};
 use super::{Outcome, Plan, ProcessFigures, Record, SoakSettings};
-use crate::direct::{fleet_behind, served, Standin};
+use crate::direct::{served, start_routers, Standin};
 use crate::Relay;
 
 /// Callers for each router.
@@ -35,7 +35,7 @@
     let relay = |_| Relay::start(standin.store);
     let relays: Vec<Relay> = (0..settings.routers).map(relay).collect();
     let stores: Vec<_> = relays.iter().map(Relay::addr).collect();
-    let routers = fleet_behind(&standin, &stores, &settings.dir);
+    let routers = start_routers(&standin, &stores, &settings.dir);
     let slot = |router| Mutex::new(Slot { router, life: 0 });
     let driver = Arc::new(Driver {
         begin: Instant::now(),
@@ -127,7 +127,7 @@
                 (slot.router.ready, slot.router.child.id(), slot.life)
             };
             look(most, pid);
-            let version = crate::direct::routing_at(ready);
+            let version = crate::direct::routing_version_at(ready);
             if lock(&driver.slots[at]).life == life {
                 let mut record = lock(&driver.record);
                 let told = record.versions.entry((at, life)).or_default();
--- a/testkit/standin/call.rs
+++ b/testkit/standin/call.rs
@@ -2,37 +2,38 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest time for a connection to come up.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest time without a byte of an answer.
-const READ: Duration = Duration::from_secs(8);
+/// Longest wait for the next bytes of an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a caller got.
+/// Answer to a request, as the caller received it.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Body, with the marks of its chunks.
+    /// Body as received: the framing of a chunked body is kept.
     pub body: String,
-    /// Whether its end has come.
+    /// Whether the connection was closed without an error and, with a chunked body, after its
+    /// last chunk.
     pub complete: bool,
 }
 
 impl Answer {
-    /// Ids of the events of a stream, in order.
+    /// Ids of the events of a stream, in the order received.
     pub fn events(&self) -> Vec<u64> {
         let ids = self.body.lines().filter_map(|l| l.strip_prefix("id: "));
         ids.filter_map(|id| id.trim().parse().ok()).collect()
     }
 }
 
-/// One request without a body, on a connection of its own.
+/// Sends a request without a body on a new connection; `None` when no answer head arrives.
 pub fn call(addr: SocketAddr, method: &str, path: &str, attempt: &str) -> Option<Answer> {
     send(addr, method, path, attempt, "")
 }
 
-/// One request on a connection of its own.
+/// Sends a request on a new connection; `None` when no answer head arrives.
 pub fn send(
     addr: SocketAddr,
     method: &str,
@@ -40,13 +41,13 @@
     attempt: &str,
     body: &str,
 ) -> Option<Answer> {
-    let mut stream = TcpStream::connect_timeout(&addr, CONNECT).ok()?;
-    stream.set_read_timeout(Some(READ)).ok()?;
-    let text = request(method, path, attempt, "close", body);
+    let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
+    let text = format_request(method, path, attempt, "close", body);
     stream.write_all(text.as_bytes()).ok()?;
-    let mut all = Vec::new();
-    let ended = stream.read_to_end(&mut all).is_ok();
-    let text = String::from_utf8_lossy(&all).to_string();
+    let mut received = Vec::new();
+    let ended = stream.read_to_end(&mut received).is_ok();
+    let text = String::from_utf8_lossy(&received).to_string();
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let chunked = head
@@ -60,8 +61,8 @@
     })
 }
 
-/// A request as text.
-pub(crate) fn request(
+/// Formats an HTTP/1.1 request with the headers of a caller of the platform.
+pub(crate) fn format_request(
     method: &str,
     path: &str,
     attempt: &str,
--- a/testkit/standin/config.rs
+++ b/testkit/standin/config.rs
@@ -1,6 +1,7 @@
 use serde_json::json;
 
-/// The configuration: `/stream/` to one model of three, `/once/` and `/safe/`.
+/// The configuration document: `/stream/` goes to service `pool`, whose model `big` runs in groups
+/// of three members; `/once/` (not repeatable) and `/safe/` go to the plain service `gate`.
 pub fn config(version: u64) -> String {
     let route = |name: &str, kind: &str, service: &str| {
         json!({"Name": name, "Host": "a.example", "PathPrefix": format!("/{name}/"), "Kind": kind,
--- a/testkit/standin/fleet.rs
+++ b/testkit/standin/fleet.rs
@@ -5,59 +5,64 @@
 use super::call::call;
 use super::{Router, Standin, EVENTS};
 
-/// Longest time for a fleet to get going.
-const START: Duration = Duration::from_secs(30);
+/// Time limit for each step of the start of a fleet.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
-/// When it doesn't in time.
-pub fn until(what: &str, most: Duration, mut done: impl FnMut() -> bool) {
-    let since = Instant::now();
-    while !done() {
-        assert!(since.elapsed() < most, "not in time: {what}");
+/// When it doesn't hold within `limit`.
+pub fn until(what: &str, limit: Duration, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !holds() {
+        assert!(start.elapsed() < limit, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A fleet of two routers that serves.
+/// Starts a stand-in and two routers, and waits until they serve.
 pub fn fleet(engines: usize, dir: &Path) -> (Standin, Vec<Router>) {
-    fleet_of(2, engines, dir)
+    start_fleet(2, engines, dir)
 }
 
-/// A fleet of some routers, `r1` and so on, that serves.
-pub fn fleet_of(routers: usize, engines: usize, dir: &Path) -> (Standin, Vec<Router>) {
+/// Starts a stand-in and routers (`r1`, `r2` and so on), and waits until they serve.
+pub fn start_fleet(routers: usize, engines: usize, dir: &Path) -> (Standin, Vec<Router>) {
     let standin = Standin::start(engines, 2);
     let stores = vec![standin.store; routers];
-    let routers = fleet_behind(&standin, &stores, dir);
+    let routers = start_routers(&standin, &stores, dir);
     (standin, routers)
 }
 
-/// Routers that serve, each of which reaches the store at an address of its own.
+/// Starts one router for each address of `stores`, at which it reaches the store. Waits until a
+/// group is open, all routers are ready and the first one serves a stream.
 ///
 /// # Panics
-/// When they don't get going.
-pub fn fleet_behind(standin: &Standin, stores: &[SocketAddr], dir: &Path) -> Vec<Router> {
+/// When one of these doesn't happen within [`STARTUP_TIMEOUT`].
+pub fn start_routers(standin: &Standin, stores: &[SocketAddr], dir: &Path) -> Vec<Router> {
     let start = |(n, store): (usize, &SocketAddr)| {
         let id = format!("r{}", n + 1);
         Router::start(&id, *store, dir)
     };
     let routers: Vec<_> = stores.iter().enumerate().map(start).collect();
-    until("a group opens", START, || !standin.open_groups().is_empty());
-    until("routers are ready", START, || {
+    until("a group opens", STARTUP_TIMEOUT, || {
+        !standin.open_groups().is_empty()
+    });
+    until("routers are ready", STARTUP_TIMEOUT, || {
         routers.iter().all(Router::is_ready)
     });
-    until("a stream is served", START, || served(&routers[0], "first"));
+    until("a stream is served", STARTUP_TIMEOUT, || {
+        served(&routers[0], "first")
+    });
     routers
 }
 
-/// Whether a router serves a whole stream.
+/// Whether a router answers a stream request with all events.
 pub fn served(router: &Router, attempt: &str) -> bool {
     let answer = call(router.callers, "POST", "/stream/x", attempt);
     answer.is_some_and(|a| a.status == 200 && a.complete && a.events().len() as u64 == EVENTS)
 }
 
-/// The routers' logs, for a failure.
+/// Logs of the routers `r1` and `r2`, for the message of a failed test.
 pub fn logs(dir: &Path) -> String {
     let read =
         |id: &str| std::fs::read_to_string(dir.join(format!("{id}.log"))).unwrap_or_default();
--- a/testkit/standin/mod.rs
+++ b/testkit/standin/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-in of the users' platform, and routers as real processes against it.
 //!
-//! It speaks the published protocol and keeps an audit: what ran how often, and whether
-//! anyone joined another group while its head was open.
+//! It speaks the platform's published protocol and keeps an audit: how often each request ran,
+//! and whether a member joined another group while the head of its own was open.
 
 mod call;
 mod config;
@@ -14,11 +14,11 @@
 mod store_calls;
 mod world;
 
-pub(crate) use call::request;
+pub(crate) use call::format_request;
 pub use call::{call, send, Answer};
 pub use config::config;
-pub use fleet::{fleet, fleet_behind, fleet_of, logs, served, until};
+pub use fleet::{fleet, logs, served, start_fleet, start_routers, until};
 pub use replica_calls::{EVENTS, FATAL};
-pub use router::{routing_at, Router};
+pub use router::{routing_version_at, Router};
 pub use standin::Standin;
 pub use world::{Copy, World};
--- a/testkit/standin/replica.rs
+++ b/testkit/standin/replica.rs
@@ -5,34 +5,40 @@
 use serde_json::{json, Value};
 use tokio::runtime::Runtime;
 
-/// Time of a join where the model was held just before, and of opening.
-const QUICK: Duration = Duration::from_millis(60);
+/// Time of a join whose model the replica loaded last, and of opening.
+const RELOAD_TIME: Duration = Duration::from_millis(60);
 
-/// Time of a join from the host.
-const WARM: Duration = Duration::from_millis(150);
+/// Time of a join whose model is staged on the host.
+const HOST_LOAD_TIME: Duration = Duration::from_millis(150);
 
-/// Time of a load.
-const LOAD: Duration = Duration::from_millis(300);
+/// Time of a join that loads its model from the weight store.
+const LOAD_TIME: Duration = Duration::from_millis(300);
 
 /// Time between two heartbeats of a replica, in milliseconds.
-const BEAT_MS: u64 = 400;
+const HEARTBEAT_MS: u64 = 400;
 
 pub(super) struct Replica {
     pub(super) addr: SocketAddr,
     pub(super) service: &'static str,
-    /// When this life began, in Unix milliseconds.
-    pub(super) born: u64,
+    /// When it last started, in Unix milliseconds.
+    pub(super) started_ms: u64,
     pub(super) alive: bool,
+    /// Whether it no longer updates its entry of the endpoint list.
     pub(super) silent: bool,
+    /// Model that is staged on its host.
     pub(super) staged: Option<String>,
-    pub(super) last: Option<String>,
+    /// Model that it loaded last since it started.
+    pub(super) last_model: Option<String>,
     pub(super) seat: Option<Seat>,
+    /// Epoch of the last join.
     pub(super) epoch: u64,
+    /// Highest fence of an order.
     pub(super) fence: u64,
-    pub(super) stalled: Option<Instant>,
-    /// Requests a second that its answers name as its limit.
+    /// When a stream of it first found a member missing since the last join.
+    pub(super) stalled_since: Option<Instant>,
+    /// Rate limit that its answers name, in requests a second.
     pub(super) limit: Option<f64>,
-    /// When requests arrived.
+    /// Times at which requests arrived.
     pub(super) arrivals: Vec<Instant>,
     pub(super) runtime: Option<Runtime>,
 }
@@ -62,19 +68,23 @@
 }
 
 impl Replica {
-    /// Heartbeats in this life so far.
-    pub(super) fn beats(&self) -> u64 {
-        1 + unix_ms().saturating_sub(self.born) / BEAT_MS
+    /// Number of heartbeats since it last started.
+    pub(super) fn heartbeats(&self) -> u64 {
+        1 + unix_ms().saturating_sub(self.started_ms) / HEARTBEAT_MS
     }
 
+    /// Its entry of the endpoint list, as JSON.
     pub(super) fn entry(&self) -> String {
         let mut entry = json!({"Service": self.service, "Address": self.addr.to_string(),
-            "Zone": "h1", "Slots": 8, "State": "ready", "Seq": self.beats(), "born": self.born,
+            "Zone": "h1", "Slots": 8, "State": "ready", "Seq": self.heartbeats(), "born": self.started_ms,
             "Version": "v1", "ColdLeftMs": 0});
         if self.service == "pool" {
             entry["Domain"] = json!("d1");
             entry["Staged"] = json!(self.staged.iter().collect::<Vec<_>>());
-            let models = self.last.iter().map(|m| json!({"Name": m, "Version": 1}));
+            let models = self
+                .last_model
+                .iter()
+                .map(|m| json!({"Name": m, "Version": 1}));
             entry["Models"] = models.collect::<Vec<_>>().into();
             entry["group"] = self.seat.as_ref().map_or(
                 Value::Null,
@@ -84,19 +94,20 @@
         entry.to_string()
     }
 
-    pub(super) fn order(
+    /// Carries out an order and returns the status of the answer.
+    pub(super) fn on_order(
         &mut self,
-        what: &str,
+        operation: &str,
         group: String,
         epoch: u64,
         body: &Value,
     ) -> StatusCode {
-        let here = self
+        let in_group = self
             .seat
             .as_ref()
             .is_some_and(|s| s.group == group && s.epoch == epoch);
-        match what {
-            "join" if here => StatusCode::OK,
+        match operation {
+            "join" if in_group => StatusCode::OK,
             "join" => {
                 let model = body["Model"].as_str().unwrap_or("").to_string();
                 let members: Vec<String> = body["Members"]
@@ -105,26 +116,26 @@
                     .flatten()
                     .filter_map(|m| Some(m.as_str()?.to_string()))
                     .collect();
-                let port = self.addr;
-                let takes = if self.last.as_ref() == Some(&model) {
-                    QUICK
+                let addr = self.addr;
+                let join_time = if self.last_model.as_ref() == Some(&model) {
+                    RELOAD_TIME
                 } else if self.staged.as_ref() == Some(&model) {
-                    WARM
+                    HOST_LOAD_TIME
                 } else {
-                    LOAD
+                    LOAD_TIME
                 };
                 self.epoch = epoch;
                 self.staged = Some(model.clone());
-                self.last = Some(model.clone());
-                self.stalled = None;
-                let rank = body["rank_of"][port.to_string()].as_u64().unwrap_or(0) as usize;
+                self.last_model = Some(model.clone());
+                self.stalled_since = None;
+                let rank = body["rank_of"][addr.to_string()].as_u64().unwrap_or(0) as usize;
                 self.seat = Some(Seat {
                     group,
                     epoch,
                     rank,
                     members,
                     model,
-                    ready_at: Instant::now() + takes,
+                    ready_at: Instant::now() + join_time,
                     open_at: None,
                     closing: false,
                 });
@@ -134,20 +145,20 @@
                 self.staged = body["Model"].as_str().map(str::to_string);
                 StatusCode::ACCEPTED
             }
-            "open" if here => match self.seat.as_mut().filter(|s| s.state() != "joining") {
+            "open" if in_group => match self.seat.as_mut().filter(|s| s.state() != "joining") {
                 Some(seat) => {
-                    seat.open_at.get_or_insert(Instant::now() + QUICK);
+                    seat.open_at.get_or_insert(Instant::now() + RELOAD_TIME);
                     StatusCode::ACCEPTED
                 }
                 None => StatusCode::CONFLICT,
             },
-            "close" if here => {
+            "close" if in_group => {
                 if let Some(seat) = &mut self.seat {
                     seat.open_at = None;
                 }
                 StatusCode::OK
             }
-            "leave" if here => {
+            "leave" if in_group => {
                 self.seat = None;
                 StatusCode::OK
             }
@@ -158,5 +169,5 @@
 
 pub(super) fn unix_ms() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    now.expect("a time after 1970").as_millis() as u64
+    now.expect("the clock is after 1970").as_millis() as u64
 }
--- a/testkit/standin/replica_calls.rs
+++ b/testkit/standin/replica_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a stand-in of a replica.
+//! Answers the calls to a replica of the stand-in.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -10,38 +10,38 @@
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
-use super::serve::{whole, Body};
+use super::serve::{json_response, Body};
 use super::world::World;
 
-/// Time that a group without a member stands still.
-pub(super) const STALL: Duration = Duration::from_millis(4_000);
+/// Time after which the streams of a group that lacks a member fail.
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Time after which a replica has crashed that runs a request with the fatal body.
-const CRASH: Duration = Duration::from_millis(10);
+/// Time from the start of a run with the fatal body to the crash of the replica.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
-/// Body of a request that crashes each replica that runs it.
+/// Body of a request that crashes every replica that runs it.
 pub const FATAL: &str = "fatal";
 
-/// Events of one stream.
+/// Number of events of one stream.
 pub const EVENTS: u64 = 12;
 
-pub(super) async fn replica_call(
+pub(super) async fn on_replica_call(
     world: Arc<Mutex<World>>,
-    me: String,
+    own_id: String,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = request.headers().get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or("").to_string()
     };
-    let (expected, attempt) = (text("x-expect-instance"), text("x-attempt-id"));
-    let last: u64 = text("last-event-id").parse().unwrap_or(0);
+    let (expected, attempt) = (header("x-expect-instance"), header("x-attempt-id"));
+    let last_event: u64 = header("last-event-id").parse().unwrap_or(0);
     let path = request.uri().path().to_string();
-    if expected != me {
-        return whole(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
+    if expected != own_id {
+        return json_response(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
     }
     if path == "/runrail/report" {
-        return whole(StatusCode::OK, &json!({"pace": 1.0}));
+        return json_response(StatusCode::OK, &json!({"pace": 1.0}));
     }
     if path == "/runrail/order" {
         let body = request
@@ -51,38 +51,41 @@
             .map(|b| b.to_bytes())
             .unwrap_or_default();
         let mut body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        let mut world = world.lock().expect("the world");
+        let mut world = world.lock().expect("state lock");
         let members = body["Members"].as_array().cloned().unwrap_or_default();
-        let addr = world.replicas[&me].addr.to_string();
-        let rank = members.iter().position(|m| m == me.as_str()).unwrap_or(0);
+        let addr = world.replicas[&own_id].addr.to_string();
+        let rank = members
+            .iter()
+            .position(|m| m == own_id.as_str())
+            .unwrap_or(0);
         body["rank_of"] = json!({ addr: rank });
-        let status = world.order(&me, &body);
-        world.list();
-        return whole(status, &Value::Null);
+        let status = world.on_order(&own_id, &body);
+        world.update_list();
+        return json_response(status, &Value::Null);
     }
     let (pool, limit) = {
-        let mut world = world.lock().expect("the world");
-        let Some(replica) = world.replicas.get_mut(&me) else {
-            return whole(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
+        let mut world = world.lock().expect("state lock");
+        let Some(replica) = world.replicas.get_mut(&own_id) else {
+            return json_response(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
         };
         replica.arrivals.push(Instant::now());
         (replica.service == "pool", replica.limit)
     };
     let body = request.into_body().collect().await;
     let fatal = body.is_ok_and(|b| b.to_bytes() == FATAL.as_bytes());
-    let heads = !pool || world.lock().expect("the world").heads(&me);
-    if heads {
-        runs(&world, &me, &attempt, fatal);
+    let can_run = !pool || world.lock().expect("state lock").is_open_head(&own_id);
+    if can_run {
+        start_run(&world, &own_id, &attempt, fatal);
     }
     let mut response = if pool {
-        stream(world, &me, last)
+        stream_response(world, &own_id, last_event)
     } else {
         sleep(Duration::from_millis(5)).await;
         if path.starts_with("/once/") {
-            let mut world = world.lock().expect("the world");
+            let mut world = world.lock().expect("state lock");
             *world.once.entry(attempt.clone()).or_default() += 1;
         }
-        whole(StatusCode::OK, &json!({"by": me}))
+        json_response(StatusCode::OK, &json!({"by": own_id}))
     };
     if let Some(Ok(value)) = limit.map(|l| l.to_string().parse()) {
         response.headers_mut().insert("server-limit", value);
@@ -90,53 +93,61 @@
     if let Ok(value) = attempt.parse() {
         response.headers_mut().insert("x-attempt-id", value);
     }
-    if let Ok(value) = me.parse() {
+    if let Ok(value) = own_id.parse() {
         response.headers_mut().insert("x-response-stamp", value);
     }
     response
 }
 
-/// A request begins to run; one with the fatal body crashes the replica soon.
-fn runs(world: &Arc<Mutex<World>>, me: &str, attempt: &str, fatal: bool) {
-    let mut known = world.lock().expect("the world");
-    *known.ran.entry(attempt.to_string()).or_default() += 1;
+/// Records the start of a run; a request with the fatal body crashes the replica after
+/// [`CRASH_DELAY`].
+fn start_run(world: &Arc<Mutex<World>>, own_id: &str, attempt: &str, fatal: bool) {
+    let mut state = world.lock().expect("state lock");
+    *state.ran.entry(attempt.to_string()).or_default() += 1;
     if !fatal {
         return;
     }
-    known.fatal.push(Instant::now());
-    let (world, me) = (world.clone(), me.to_string());
+    state.fatal.push(Instant::now());
+    let (world, own_id) = (world.clone(), own_id.to_string());
     tokio::spawn(async move {
-        sleep(CRASH).await;
-        world.lock().expect("the world").kill(&me);
+        sleep(CRASH_DELAY).await;
+        world.lock().expect("state lock").kill(&own_id);
     });
 }
 
-/// The events of a stream; it stands still while a member is missing.
-pub(super) fn stream(world: Arc<Mutex<World>>, me: &str, last: u64) -> Response<Body> {
+/// The events of a stream after `last_event`; 421 where the replica doesn't head an open group.
+///
+/// The stream stalls while a member of the group is missing, and fails when the head has been
+/// stalled for longer than [`STALL_TIMEOUT`].
+pub(super) fn stream_response(
+    world: Arc<Mutex<World>>,
+    own_id: &str,
+    last_event: u64,
+) -> Response<Body> {
     let seat = {
-        let world = world.lock().expect("the world");
-        let seat = world.replicas[me].seat.clone();
+        let world = world.lock().expect("state lock");
+        let seat = world.replicas[own_id].seat.clone();
         seat.filter(|s| s.rank == 0 && s.state() == "open")
     };
     let Some(seat) = seat else {
-        return whole(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
+        return json_response(StatusCode::MISDIRECTED_REQUEST, &Value::Null);
     };
-    let me = me.to_string();
-    let events = futures_util::stream::unfold(last + 1, move |n| {
-        let (world, seat, me) = (world.clone(), seat.clone(), me.clone());
+    let own_id = own_id.to_string();
+    let events = futures_util::stream::unfold(last_event + 1, move |n| {
+        let (world, seat, own_id) = (world.clone(), seat.clone(), own_id.clone());
         async move {
             if n > EVENTS {
                 return None;
             }
             loop {
                 sleep(Duration::from_millis(15)).await;
-                let mut world = world.lock().expect("the world");
-                if seat.members.iter().all(|m| world.holds(m, &seat)) {
+                let mut world = world.lock().expect("state lock");
+                if seat.members.iter().all(|m| world.has_joined(m, &seat)) {
                     break;
                 }
-                let head = world.replicas.get_mut(&me)?;
-                let since = *head.stalled.get_or_insert_with(Instant::now);
-                if since.elapsed() > STALL {
+                let head = world.replicas.get_mut(&own_id)?;
+                let stalled_since = *head.stalled_since.get_or_insert_with(Instant::now);
+                if stalled_since.elapsed() > STALL_TIMEOUT {
                     return Some((Err(std::io::Error::other("broken")), EVENTS + 1));
                 }
             }
--- a/testkit/standin/router.rs
+++ b/testkit/standin/router.rs
@@ -12,20 +12,20 @@
 pub struct Router {
     /// The process.
     pub child: Child,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks, and figures are told.
+    /// Address of the readiness check and the metrics page.
     pub ready: SocketAddr,
-    /// Its instance.
+    /// Instance id.
     pub id: String,
     settings: PathBuf,
 }
 
 impl Router {
-    /// Starts one with settings and a log in a folder.
+    /// Starts a router whose settings and log are files in `dir`.
     ///
     /// # Panics
-    /// When it can't be started.
+    /// When the settings can't be written or the process can't be started.
     pub fn start(id: &str, store: SocketAddr, dir: &Path) -> Self {
         let (callers, ready, peers) = (free_addr(), free_addr(), free_addr());
         let settings = dir.join(format!("{id}.ini"));
@@ -45,53 +45,54 @@
         }
     }
 
-    /// Ends it without warning.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        // A process that has ended is as good as killed.
+        // An error means that the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Kills it and starts it anew with the same settings.
+    /// Kills the process and starts it again with the same settings.
     pub fn restart(&mut self) {
         self.kill();
         self.child = spawn(&self.settings);
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     ///
     /// # Panics
-    /// When it has ended.
+    /// When the process has ended and was waited for.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
         kill(pid, signal).expect("a signal");
     }
 
-    /// Its figures as text; empty where it doesn't answer.
+    /// Text of its metrics page; empty when it doesn't answer.
     pub fn figures(&self) -> String {
-        figures_at(self.ready)
+        metrics_at(self.ready)
     }
 
-    /// Version of the routing in force; none before the first.
+    /// Version of the routing in force; `None` when no version is in force or it doesn't answer.
     pub fn routing(&self) -> Option<u64> {
-        routing_at(self.ready)
+        routing_version_at(self.ready)
     }
 
-    /// Whether it takes callers.
+    /// Whether it reports that it is ready for callers.
     pub fn is_ready(&self) -> bool {
         call(self.ready, "GET", "/runrail/ready", "").is_some_and(|a| a.status == 200)
     }
 }
 
-fn figures_at(ready: SocketAddr) -> String {
+fn metrics_at(ready: SocketAddr) -> String {
     let answer = call(ready, "GET", "/metrics", "");
     answer.map(|a| a.body).unwrap_or_default()
 }
 
-/// Version of the routing in force at a router that tells its figures at an address.
-pub fn routing_at(ready: SocketAddr) -> Option<u64> {
-    let figures = figures_at(ready);
-    let mut lines = figures.lines();
+/// Version of the routing in force at the router whose metrics page is at `ready`; `None` when no
+/// version is in force or it doesn't answer.
+pub fn routing_version_at(ready: SocketAddr) -> Option<u64> {
+    let metrics = metrics_at(ready);
+    let mut lines = metrics.lines();
     let version = lines.find_map(|l| l.strip_prefix("runrail_routing_version "))?;
     version.trim().parse().ok().filter(|version| *version > 0)
 }
@@ -102,10 +103,10 @@
     }
 }
 
-/// The program under test, which the build puts beside the one that runs.
+/// Path of the `runrail` binary: in the directory of the running program or in the parent of that.
 fn binary() -> PathBuf {
-    let here = std::env::current_exe().expect("a program has a path");
-    let dirs = here.ancestors().skip(1).take(2);
+    let program = std::env::current_exe().expect("a program has a path");
+    let dirs = program.ancestors().skip(1).take(2);
     let mut found = dirs.map(|dir| dir.join("runrail"));
     found
         .find(|path| path.is_file())
@@ -117,14 +118,14 @@
         .args(["router", "--settings"])
         .arg(settings)
         .stdin(Stdio::null())
-        .stdout(log(settings))
+        .stdout(log_file(settings))
         .stderr(Stdio::null())
         .spawn()
         .expect("the binary starts")
 }
 
-/// Where a router's log goes: beside its settings, appended over its lives.
-fn log(settings: &Path) -> std::fs::File {
+/// Opens a router's log file, beside its settings; every process of the router appends to it.
+fn log_file(settings: &Path) -> std::fs::File {
     let path = settings.with_extension("log");
     let mut open = std::fs::OpenOptions::new();
     open.create(true).append(true).open(path).expect("a log")
--- a/testkit/standin/serve.rs
+++ b/testkit/standin/serve.rs
@@ -36,17 +36,18 @@
     serve_at(SocketAddr::from(([127, 0, 0, 1], 0)), runtime, answer)
 }
 
-/// Listens at an address, which may just have been given up, and answers each request.
+/// Listens at an address and answers each request. Binding is retried for 5 s, as the server that
+/// held the address before may not have released it yet.
 pub(super) fn serve_at<F, R>(addr: SocketAddr, runtime: &Runtime, answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + 'static,
     R: std::future::Future<Output = Response<Body>> + Send + 'static,
 {
-    let since = Instant::now();
+    let start = Instant::now();
     let listener = loop {
         match runtime.block_on(TcpListener::bind(addr)) {
             Ok(listener) => break listener,
-            Err(e) => assert!(since.elapsed() < Duration::from_secs(5), "{addr}: {e}"),
+            Err(e) => assert!(start.elapsed() < Duration::from_secs(5), "{addr}: {e}"),
         }
         std::thread::sleep(Duration::from_millis(5));
     };
@@ -68,7 +69,8 @@
     addr
 }
 
-pub(super) fn whole(status: StatusCode, body: &Value) -> Response<Body> {
+/// A response with a JSON body, or with an empty body where `body` is null.
+pub(super) fn json_response(status: StatusCode, body: &Value) -> Response<Body> {
     let text = if body.is_null() {
         String::new()
     } else {
@@ -80,7 +82,8 @@
     response
 }
 
-pub(super) fn query(request: &Request<Incoming>, name: &str) -> String {
+/// Value of a query parameter, not decoded; empty where it is missing.
+pub(super) fn query_value(request: &Request<Incoming>, name: &str) -> String {
     let query = request.uri().query().unwrap_or("");
     let found = query
         .split('&')
--- a/testkit/standin/standin.rs
+++ b/testkit/standin/standin.rs
@@ -7,26 +7,29 @@
 
 use super::config::config;
 use super::replica::{unix_ms, Replica};
-use super::replica_calls::replica_call;
+use super::replica_calls::on_replica_call;
 use super::serve::{runtime, serve, serve_at};
-use super::store_calls::store_call;
+use super::store_calls::on_store_call;
 use super::world::World;
 
-/// The platform while a test runs.
+/// A running stand-in of the platform: its store and its replicas.
 pub struct Standin {
     world: Arc<Mutex<World>>,
-    /// Where its store listens.
+    /// Address of its store.
     pub store: SocketAddr,
     _runtime: Runtime,
 }
 
 impl Standin {
-    /// A store with a configuration, and replicas that are listed.
+    /// Starts a store that holds configuration version 1, and replicas: `engines` of service `pool`
+    /// (ids `e0`, `e1` and so on) and `plain` of service `gate` (`p0`, `p1` and so on).
     pub fn start(engines: usize, plain: usize) -> Self {
         let world = Arc::new(Mutex::new(World::default()));
         let runtime = runtime();
-        let inside = world.clone();
-        let store = serve(&runtime, move |request| store_call(inside.clone(), request));
+        let state = world.clone();
+        let store = serve(&runtime, move |request| {
+            on_store_call(state.clone(), request)
+        });
         let standin = Self {
             world,
             store,
@@ -43,41 +46,41 @@
         standin._runtime.spawn(async move {
             loop {
                 sleep(Duration::from_millis(30)).await;
-                let mut world = world.lock().expect("the world");
-                world.expire();
-                world.list();
+                let mut world = world.lock().expect("state lock");
+                world.expire_leases();
+                world.update_list();
             }
         });
         standin
     }
 
-    /// What it knows now.
+    /// Locks its state.
     ///
     /// # Panics
-    /// When a thread that held it has panicked.
+    /// When a thread has panicked while it held the lock.
     pub fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().expect("the world")
+        self.world.lock().expect("state lock")
     }
 
-    /// Adds an empty replica.
+    /// Adds a replica of a service that has loaded no model.
     pub fn add(&self, id: &str, service: &'static str) {
         let runtime = runtime();
-        let (world, me) = (self.world.clone(), id.to_string());
+        let (world, own_id) = (self.world.clone(), id.to_string());
         let addr = serve(&runtime, move |request| {
-            replica_call(world.clone(), me.clone(), request)
+            on_replica_call(world.clone(), own_id.clone(), request)
         });
         let replica = Replica {
             addr,
             service,
-            born: unix_ms(),
+            started_ms: unix_ms(),
             alive: true,
             silent: false,
             staged: None,
-            last: None,
+            last_model: None,
             seat: None,
             epoch: 0,
             fence: 0,
-            stalled: None,
+            stalled_since: None,
             limit: None,
             arrivals: Vec::new(),
             runtime: Some(runtime),
@@ -85,44 +88,44 @@
         self.world().replicas.insert(id.to_string(), replica);
     }
 
-    /// Ends a replica without a word; it starts again under its id, at its address.
+    /// Kills a replica and starts it again with the same id and address. It is then in no group.
     pub fn restart(&self, id: &str) {
         self.kill(id);
         let Some(addr) = self.world().replicas.get(id).map(|r| r.addr) else {
             return;
         };
         let runtime = runtime();
-        let (world, me) = (self.world.clone(), id.to_string());
+        let (world, own_id) = (self.world.clone(), id.to_string());
         serve_at(addr, &runtime, move |request| {
-            replica_call(world.clone(), me.clone(), request)
+            on_replica_call(world.clone(), own_id.clone(), request)
         });
         let mut world = self.world();
         if let Some(replica) = world.replicas.get_mut(id) {
-            replica.born = unix_ms().max(replica.born + 1);
+            replica.started_ms = unix_ms().max(replica.started_ms + 1);
             replica.alive = true;
-            replica.last = None;
+            replica.last_model = None;
             replica.seat = None;
             replica.epoch = 0;
             replica.fence = 0;
-            replica.stalled = None;
+            replica.stalled_since = None;
             replica.runtime = Some(runtime);
         }
-        world.list();
+        world.update_list();
     }
 
-    /// Ids of all replicas that work.
+    /// Ids of all replicas that run.
     pub fn alive(&self) -> Vec<String> {
         let world = self.world();
         let alive = world.replicas.iter().filter(|(_, r)| r.alive);
         alive.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Ends a replica for good, without a word.
+    /// Kills a replica without starting it again.
     pub fn kill(&self, id: &str) {
         self.world().kill(id);
     }
 
-    /// Members of open groups, by group, the head first.
+    /// Members of each open group of which all members run, the head first.
     pub fn open_groups(&self) -> Vec<Vec<String>> {
         let world = self.world();
         let heads = world.replicas.values().filter_map(|r| {
@@ -130,7 +133,7 @@
                 .seat
                 .as_ref()
                 .filter(|s| s.rank == 0 && s.state() == "open")?;
-            let all = seat.members.iter().all(|m| world.holds(m, seat));
+            let all = seat.members.iter().all(|m| world.has_joined(m, seat));
             (r.alive && all).then(|| seat.members.clone())
         });
         heads.collect()
--- a/testkit/standin/world.rs
+++ b/testkit/standin/world.rs
@@ -5,35 +5,40 @@
 use serde_json::Value;
 
 use super::replica::{Replica, Seat};
-use super::replica_calls::STALL;
+use super::replica_calls::STALL_TIMEOUT;
 
-/// What the platform knows and what its replicas have done.
+/// State of the stand-in platform: its store, its replicas, and the audit of what they did.
 #[derive(Default)]
 pub struct World {
-    /// How often the store has come back from a copy.
+    /// How often the store was restored from a backup.
     pub(super) era: u64,
     pub(super) revision: i64,
+    /// By key: value, revision and lease (0 for none).
     pub(super) items: BTreeMap<String, (String, i64, i64)>,
-    pub(super) log: Vec<(i64, String, Option<String>)>,
+    /// Every change: revision, key, and value unless the key was removed.
+    pub(super) history: Vec<(i64, String, Option<String>)>,
+    /// By lease: its end and its time to live.
     pub(super) leases: HashMap<i64, (Instant, Duration)>,
-    /// Whether the store turns all calls away.
+    /// Whether the store answers every new call with 503.
     pub store_down: bool,
     pub(super) replicas: BTreeMap<String, Replica>,
-    /// Runs by attempt, of requests that may not be repeated.
+    /// Number of runs by attempt id, of requests that may not be repeated.
     pub once: HashMap<String, u32>,
-    /// Runs by attempt, of all requests.
+    /// Number of runs by attempt id, of all requests.
     pub ran: HashMap<String, u32>,
-    /// When a request with the fatal body began to run.
+    /// Times at which a run of a request with the fatal body began.
     pub fatal: Vec<Instant>,
-    /// What must not happen and did.
+    /// Violations that the audit has found.
     pub broken: Vec<String>,
 }
 
-/// What a store holds, kept to come back to.
+/// A backup of the store, for [`World::restore`].
 pub struct Copy {
     pub(super) revision: i64,
+    /// By key: value, revision and lease (0 for none).
     pub(super) items: BTreeMap<String, (String, i64, i64)>,
-    pub(super) log: Vec<(i64, String, Option<String>)>,
+    /// Every change: revision, key, and value unless the key was removed.
+    pub(super) history: Vec<(i64, String, Option<String>)>,
     pub(super) leases: HashMap<i64, (Instant, Duration)>,
 }
 
@@ -43,64 +48,66 @@
         self.put("op/config", text);
     }
 
-    /// A copy of the store as it is now.
+    /// Makes a backup of the store.
     pub fn copy(&self) -> Copy {
         Copy {
             revision: self.revision,
             items: self.items.clone(),
-            log: self.log.clone(),
+            history: self.history.clone(),
             leases: self.leases.clone(),
         }
     }
 
-    /// The store comes back as it was: what was written since is gone, and its revisions are
-    /// given out again.
+    /// Restores the store from a backup: later writes are lost, their revisions are given out
+    /// again, and the era goes up by one.
     pub fn restore(&mut self, copy: Copy) {
         self.era += 1;
         self.revision = copy.revision;
         self.items = copy.items;
-        self.log = copy.log;
+        self.history = copy.history;
         self.leases = copy.leases;
     }
 
-    /// A replica that writes no entry of its own any more, but works on.
+    /// Makes a replica stop updating its entry of the endpoint list; it goes on serving.
     pub fn silence(&mut self, id: &str) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.silent = true;
         }
     }
 
-    /// Another writer's value under a key.
+    /// Writes a value under a key, as another writer would.
     pub fn configure_key(&mut self, key: &str, value: &str) {
         self.put(key, value);
     }
 
-    /// A replica names a limit in its answers from now on, or none any more.
+    /// Sets the rate limit, in requests a second, that a replica names in its answers; `None` for
+    /// no limit.
     pub fn limit(&mut self, id: &str, limit: Option<f64>) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.limit = limit;
         }
     }
 
-    /// Whether a replica names a limit.
-    pub fn limited(&self, id: &str) -> bool {
+    /// Whether a replica names a rate limit in its answers.
+    pub fn has_limit(&self, id: &str) -> bool {
         self.replicas.get(id).is_some_and(|r| r.limit.is_some())
     }
 
-    /// Requests that have arrived at a replica since a time, and when.
+    /// Times at which requests arrived at a replica since a time.
     pub fn arrivals(&self, id: &str, since: Instant) -> Vec<Instant> {
         let all = self.replicas.get(id).map_or(&[][..], |r| &r.arrivals);
         all.iter().copied().filter(|at| *at >= since).collect()
     }
 
-    /// Writes of others that only make the revision rise.
+    /// Writes an unrelated key `count` times, which only raises the revision.
     pub fn write_unrelated(&mut self, count: usize) {
         for n in 0..count {
             self.put("other/key", &n.to_string());
         }
     }
 
-    /// Ends a replica for good, without a word.
+    /// Kills a replica: its open connections are dropped, and its entry is removed when the list is
+    /// next updated.
     pub(super) fn kill(&mut self, id: &str) {
         let runtime = self.replicas.get_mut(id).and_then(|r| {
             r.alive = false;
@@ -116,31 +123,33 @@
         let old = self.items.get(key).map_or(0, |i| i.2);
         self.items
             .insert(key.to_string(), (value.to_string(), self.revision, old));
-        self.log
+        self.history
             .push((self.revision, key.to_string(), Some(value.to_string())));
     }
 
     pub(super) fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
             self.revision += 1;
-            self.log.push((self.revision, key.to_string(), None));
+            self.history.push((self.revision, key.to_string(), None));
         }
     }
 
-    pub(super) fn expire(&mut self) {
+    /// Ends the leases whose time is over.
+    pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
             .filter(|(_, l)| now >= l.0)
             .map(|(n, _)| *n)
             .collect();
-        for lease in over {
-            self.end(lease);
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    pub(super) fn end(&mut self, lease: i64) {
+    /// Ends a lease and removes its keys.
+    pub(super) fn end_lease(&mut self, lease: i64) {
         self.leases.remove(&lease);
         let keys: Vec<_> = self
             .items
@@ -153,8 +162,8 @@
         }
     }
 
-    /// Brings the list up to date.
-    pub(super) fn list(&mut self) {
+    /// Updates the entries of all replicas in the endpoint list; one that has ended is removed.
+    pub(super) fn update_list(&mut self) {
         let entries: Vec<_> = self
             .replicas
             .iter()
@@ -172,42 +181,44 @@
     }
 
     /// Whether a replica heads an open group.
-    pub(super) fn heads(&self, id: &str) -> bool {
+    pub(super) fn is_open_head(&self, id: &str) -> bool {
         let seat = self.replicas.get(id).and_then(|r| r.seat.as_ref());
         seat.is_some_and(|s| s.rank == 0 && s.state() == "open")
     }
 
-    /// Whether a member stands in a seat's group.
-    pub(super) fn holds(&self, member: &str, seat: &Seat) -> bool {
-        let there = self.replicas.get(member).filter(|r| r.alive);
-        let other = there.and_then(|r| r.seat.as_ref());
+    /// Whether a member runs and has completed its join to a seat's group and epoch.
+    pub(super) fn has_joined(&self, member: &str, seat: &Seat) -> bool {
+        let replica = self.replicas.get(member).filter(|r| r.alive);
+        let other = replica.and_then(|r| r.seat.as_ref());
         other.is_some_and(|s| {
             s.group == seat.group && s.epoch == seat.epoch && s.state() != "joining"
         })
     }
 
-    pub(super) fn order(&mut self, id: &str, body: &Value) -> StatusCode {
+    /// Checks and audits an order, passes it on to its replica and returns the status of the answer.
+    pub(super) fn on_order(&mut self, id: &str, body: &Value) -> StatusCode {
         let text = |name: &str| body[name].as_str().unwrap_or("").to_string();
-        let (what, group, epoch) = (
+        let (operation, group, epoch) = (
             text("Operation"),
             text("group"),
             body["epoch"].as_u64().unwrap_or(0),
         );
         let fence = body["Fence"].as_u64().unwrap_or(0);
-        if what == "join" {
+        if operation == "join" {
             self.audit_join(id, &group);
         }
         let Some(replica) = self.replicas.get_mut(id) else {
             return StatusCode::MISDIRECTED_REQUEST;
         };
-        if fence < replica.fence || (what == "join" && epoch < replica.epoch) {
+        if fence < replica.fence || (operation == "join" && epoch < replica.epoch) {
             return StatusCode::PRECONDITION_FAILED;
         }
         replica.fence = fence;
-        replica.order(&what, group, epoch, body)
+        replica.on_order(&operation, group, epoch, body)
     }
 
-    /// Rule TWO: nobody joins another group while the head of its own is open.
+    /// Audits rule TWO: a member doesn't join another group while the head of its own is open, unless
+    /// that head has been stalled for [`STALL_TIMEOUT`] or longer.
     pub(super) fn audit_join(&mut self, id: &str, group: &str) {
         let Some(seat) = self.replicas.get(id).and_then(|r| r.seat.clone()) else {
             return;
@@ -216,10 +227,12 @@
             return;
         };
         let own = head.seat.as_ref().filter(|s| s.group == seat.group);
-        let stalls = head.stalled.is_none_or(|at| at.elapsed() < STALL);
-        if seat.group != group && stalls && own.is_some_and(|s| s.state() == "open") {
-            let told = format!("TWO: {id} joins {group} while {} is open", seat.group);
-            self.broken.push(told);
+        let can_continue = head
+            .stalled_since
+            .is_none_or(|at| at.elapsed() < STALL_TIMEOUT);
+        if seat.group != group && can_continue && own.is_some_and(|s| s.state() == "open") {
+            let violation = format!("TWO: {id} joins {group} while {} is open", seat.group);
+            self.broken.push(violation);
         }
     }
 }
