--- a/testkit/src/bin/ablate.rs
+++ b/testkit/src/bin/ablate.rs
@@ -1,7 +1,8 @@
-//! Measures what each mechanism of the policy is worth: plays the same days with the
-//! same seeds, whole and with one mechanism switched off at a time.
+//! Measures the effect of each mechanism of the policy: runs the same days of the benchmark with
+//! the same seeds, with all mechanisms and with one of them switched off at a time.
 //!
-//! Run it in a scratch clone: it writes the switch into the settings template there.
+//! Run it in a scratch clone: it writes the setting that switches a mechanism off into the settings
+//! template there, and restores the template at the end.
 //!
 //! ```text
 //! cargo run -p testkit --bin ablate -- --bench PATH --sites A.toml,B.toml --seeds 4
@@ -17,7 +18,7 @@
 /// The settings template of the deployment.
 const TEMPLATE: &str = "deploy/router.ini";
 
-/// The standard days, those with trouble last.
+/// Days that the benchmark is run with.
 const DAYS: [&str; 6] = [
     "quiet-1",
     "trouble-1",
@@ -27,8 +28,8 @@
     "trouble-3",
 ];
 
-/// Days that are played at once.
-const AT_ONCE: usize = 6;
+/// Parallel runs of the benchmark.
+const PARALLEL_RUNS: usize = 6;
 
 /// Mechanisms that can be switched off, as the settings name them.
 const MECHANISMS: [&str; 11] = [
@@ -45,7 +46,7 @@
     "freeing",
 ];
 
-/// Worth by day and seed.
+/// The `worth` that the benchmark prints, by day and seed.
 type Worths = BTreeMap<(String, u64), f64>;
 
 fn main() -> ExitCode {
@@ -70,14 +71,14 @@
     result
 }
 
-/// Prints a row a mechanism: what it is worth on each site, with the standard error of
-/// the mean of the pairs.
+/// Prints a row for each mechanism: by site, the mean of the worth lost without it and the standard
+/// error of that mean.
 fn table(bench: &str, sites: &[&str], seeds: u64, template: &str) -> Result<(), String> {
-    let whole = all_sites(bench, sites, seeds)?;
+    let baseline = run_sites(bench, sites, seeds)?;
     let names = sites.iter().map(|s| stem(s)).collect::<Vec<_>>();
     println!("| switched off | {} |", names.join(" | "));
     println!("|---|{}", "---|".repeat(sites.len()));
-    let means = whole.iter().map(|w| format!("{:.3}", mean(w.values())));
+    let means = baseline.iter().map(|w| format!("{:.3}", mean(w.values())));
     println!(
         "| nothing: worth | {} |",
         means.collect::<Vec<_>>().join(" | ")
@@ -85,8 +86,11 @@
     for mechanism in MECHANISMS {
         let text = format!("{template}\n[policy]\noff = {mechanism}\n");
         std::fs::write(TEMPLATE, text).map_err(|e| format!("{TEMPLATE}: {e}"))?;
-        let off = all_sites(bench, sites, seeds)?;
-        let cells = whole.iter().zip(&off).map(|(whole, off)| cell(whole, off));
+        let off = run_sites(bench, sites, seeds)?;
+        let cells = baseline
+            .iter()
+            .zip(&off)
+            .map(|(baseline, off)| cell(baseline, off));
         println!(
             "| {mechanism} | {} |",
             cells.collect::<Vec<_>>().join(" | ")
@@ -105,45 +109,49 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// What is lost without the mechanism, over the pairs that were played both times.
-fn cell(whole: &Worths, off: &Worths) -> String {
-    let lost: Vec<f64> = whole
+/// Mean of the worth lost without the mechanism and its standard error, over the pairs of day and
+/// seed that have a worth both with and without it.
+fn cell(baseline: &Worths, off: &Worths) -> String {
+    let losses: Vec<f64> = baseline
         .iter()
         .filter_map(|(key, with)| Some(with - off.get(key)?))
         .collect();
-    let mid = mean(lost.iter());
-    let spread: f64 = lost.iter().map(|l| (l - mid).powi(2)).sum();
-    let n = lost.len().max(2) as f64;
+    let average = mean(losses.iter());
+    let spread: f64 = losses.iter().map(|l| (l - average).powi(2)).sum();
+    let n = losses.len().max(2) as f64;
     let error = (spread / (n - 1.0) / n).sqrt();
-    format!("{mid:+.3} ± {error:.3}")
+    format!("{average:+.3} ± {error:.3}")
 }
 
-fn all_sites(bench: &str, sites: &[&str], seeds: u64) -> Result<Vec<Worths>, String> {
+fn run_sites(bench: &str, sites: &[&str], seeds: u64) -> Result<Vec<Worths>, String> {
     let built = Command::new(bench).arg("build").output();
     built.map_err(|e| format!("{bench}: {e}"))?;
-    Ok(sites.iter().map(|site| play(bench, site, seeds)).collect())
+    Ok(sites
+        .iter()
+        .map(|site| run_all(bench, site, seeds))
+        .collect())
 }
 
-/// Plays every day with every seed; a day without a figure is told and left out.
-fn play(bench: &str, site: &str, seeds: u64) -> Worths {
+/// Runs every day with every seed; a run that prints no worth is reported and left out.
+fn run_all(bench: &str, site: &str, seeds: u64) -> Worths {
     let days = DAYS.iter().map(|d| d.to_string());
     let jobs: Vec<_> = days
         .flat_map(|day| (1..=seeds).map(move |seed| (day.clone(), seed)))
         .collect();
     let (queue, worths) = (Mutex::new(jobs), Mutex::new(Worths::new()));
     std::thread::scope(|scope| {
-        for _ in 0..AT_ONCE {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| loop {
                 let Some((day, seed)) = queue.lock().ok().and_then(|mut q| q.pop()) else {
                     return;
                 };
-                match one(bench, site, &day, seed) {
+                match run_one(bench, site, &day, seed) {
                     Some(worth) => {
                         if let Ok(mut worths) = worths.lock() {
                             worths.insert((day, seed), worth);
                         }
                     }
-                    None => eprintln!("{site} {day} --seed {seed}: no worth was printed"),
+                    None => eprintln!("{site} {day} --seed {seed}: the benchmark printed no worth"),
                 }
             });
         }
@@ -151,7 +159,7 @@
     worths.into_inner().unwrap_or_default()
 }
 
-fn one(bench: &str, site: &str, day: &str, seed: u64) -> Option<f64> {
+fn run_one(bench: &str, site: &str, day: &str, seed: u64) -> Option<f64> {
     let seed = seed.to_string();
     let why = "trial: ablation";
     let output = Command::new(bench)
--- a/testkit/src/bin/soak.rs
+++ b/testkit/src/bin/soak.rs
@@ -1,5 +1,5 @@
-//! Plays faults that are drawn from a seed against a fleet of real processes, and judges what
-//! callers, endpoints and the processes' figures show.
+//! Runs faults that are drawn from a seed against a fleet of real processes, and checks what
+//! callers, endpoints and the resource usage of the processes show.
 //!
 //! ```text
 //! cargo build && cargo run -p testkit --bin soak -- --seed 7 --minutes 1 --routers 5 --engines 12
@@ -13,8 +13,8 @@
 
 const HELP: &str = "soak [--seed N] [--seeds N] [--seconds S | --minutes M] [--routers R] \
                     [--engines E] [--dir DIR]\n\
-                    --seeds plays so many seeds from the first one on; each keeps its report, \
-                    plots and logs in a folder of DIR";
+                    --seeds runs that many seeds, beginning with --seed; the report, plots and \
+                    logs of each are written to a folder of its own in DIR";
 
 fn main() -> ExitCode {
     match run(Arguments::from_env()) {
@@ -27,46 +27,49 @@
     }
 }
 
-/// True where every seed has held.
+/// Runs all seeds; returns whether every one passed all checks.
 fn run(mut args: Arguments) -> Result<bool, Box<dyn std::error::Error>> {
     if args.contains(["-h", "--help"]) {
         println!("{HELP}");
         return Ok(true);
     }
-    let usual = SoakSettings::default();
+    let defaults = SoakSettings::default();
     let minutes: Option<u64> = args.opt_value_from_str("--minutes")?;
     let seconds: Option<u64> = args.opt_value_from_str("--seconds")?;
-    let first: u64 = args.opt_value_from_str("--seed")?.unwrap_or(usual.seed);
+    let first: u64 = args.opt_value_from_str("--seed")?.unwrap_or(defaults.seed);
     let seeds: u64 = args.opt_value_from_str("--seeds")?.unwrap_or(1);
-    let dir: PathBuf = args.opt_value_from_str("--dir")?.unwrap_or(usual.dir);
+    let dir: PathBuf = args.opt_value_from_str("--dir")?.unwrap_or(defaults.dir);
     let settings = SoakSettings {
-        seconds: seconds.or(minutes.map(|m| m * 60)).unwrap_or(usual.seconds),
+        seconds: seconds
+            .or(minutes.map(|m| m * 60))
+            .unwrap_or(defaults.seconds),
         routers: args
             .opt_value_from_str("--routers")?
-            .unwrap_or(usual.routers),
+            .unwrap_or(defaults.routers),
         engines: args
             .opt_value_from_str("--engines")?
-            .unwrap_or(usual.engines),
+            .unwrap_or(defaults.engines),
         dir: dir.clone(),
-        ..usual
+        ..defaults
     };
     let rest = args.finish();
     if !rest.is_empty() {
-        return Err(format!("unknown: {rest:?}\n{HELP}").into());
+        return Err(format!("unknown arguments: {rest:?}\n{HELP}").into());
     }
-    let mut held = true;
+    let mut passed = true;
     for seed in first..first + seeds {
         let settings = SoakSettings {
             seed,
             dir: dir.join(format!("seed-{seed}")),
             ..settings.clone()
         };
-        held &= play(&settings)?;
+        passed &= run_seed(&settings)?;
     }
-    Ok(held)
+    Ok(passed)
 }
 
-fn play(settings: &SoakSettings) -> std::io::Result<bool> {
+/// Runs one seed and writes its report; returns whether it passed all checks.
+fn run_seed(settings: &SoakSettings) -> std::io::Result<bool> {
     let plan = Plan::draw(settings);
     println!("seed {}:\n{plan}", settings.seed);
     let record = soak(settings, &plan, |line| println!("{line}"));
--- a/testkit/src/engine.rs
+++ b/testkit/src/engine.rs
@@ -9,18 +9,18 @@
 
 use crate::respond;
 
-/// How a stand-in engine behaves.
+/// Parameters of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineKnobs {
-    /// Requests it runs at once.
+    /// Parallel requests that it reports as its limit; it doesn't enforce it.
     pub slots: u32,
-    /// Time between two pieces.
+    /// Time that each piece of an answer takes.
     pub piece: Duration,
-    /// Pieces of an answer whose request names no `max_tokens`.
+    /// Number of pieces of an answer whose request has no `max_tokens`.
     pub pieces: u64,
-    /// Time for a load.
+    /// Time that a load takes.
     pub load: Duration,
-    /// Whether it refuses orders with an old fence.
+    /// Whether it refuses loads and requests whose fence is lower than the highest one received.
     pub fenced: bool,
     /// Versions that fail to load.
     pub broken_versions: Vec<String>,
@@ -44,19 +44,20 @@
 pub struct EngineRun {
     /// Engine that ran it.
     pub engine: String,
-    /// Run id as the agent gave it.
+    /// Run id from the header `Runrail-Run`.
     pub run: String,
-    /// Fence of the order.
+    /// Fence from the header `Runrail-Fence`.
     pub fence: u64,
-    /// Text of the last message.
+    /// Text of the last message of the request.
     pub prompt: String,
-    /// Pieces that the caller had already.
+    /// Index of the first piece to send: the caller has those before it.
     pub offset: u64,
-    /// Engines that were missing from the group when it started.
+    /// Engines that the group lacked when the run started; `unloaded` for each one not loaded.
     pub missing: Vec<String>,
 }
 
-/// The fabric that joins engines: knows which are up and what each has loaded.
+/// The fabric between engines: which of them are down, which group each is loaded for, and all
+/// runs.
 #[derive(Clone, Default)]
 pub struct Fabric {
     state: Arc<Mutex<FabricState>>,
@@ -64,7 +65,7 @@
 
 #[derive(Default)]
 struct FabricState {
-    /// Per engine: fence and size of the group it is loaded for.
+    /// By engine: fence and size of the group that it is loaded for.
     loaded: BTreeMap<String, (u64, u64)>,
     down: BTreeSet<String>,
     runs: Vec<EngineRun>,
@@ -80,7 +81,7 @@
 }
 
 struct State {
-    knobs: EngineKnobs,
+    params: EngineKnobs,
     fence: u64,
     cancelled: BTreeSet<String>,
     running: u32,
@@ -92,7 +93,7 @@
         Self::default()
     }
 
-    /// Takes an engine down, or up again. A group that lacks one can't go on.
+    /// Marks an engine as down or up. Answers of a group that lacks an engine are aborted.
     pub fn set_down(&self, engine: &str, down: bool) {
         let mut state = self.lock();
         if down {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Every request that was started.
+    /// All requests that engines have started.
     pub fn runs(&self) -> Vec<EngineRun> {
         self.lock().runs.clone()
     }
@@ -111,7 +112,8 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Engines that a group with this fence lacks.
+    /// Engines that the group with this fence lacks: names of those that are down, and `unloaded` for
+    /// each one that isn't loaded.
     fn missing(&self, fence: u64) -> Vec<String> {
         let state = self.lock();
         let members = state.loaded.iter().filter(|(_, (f, _))| *f == fence);
@@ -125,11 +127,11 @@
 }
 
 impl Engine {
-    /// Starts an engine.
+    /// Starts an engine on a free port.
     ///
     /// # Panics
-    /// When no port can be had.
-    pub fn start(name: &str, fabric: &Fabric, knobs: EngineKnobs) -> Self {
+    /// When no port is free.
+    pub fn start(name: &str, fabric: &Fabric, params: EngineKnobs) -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port");
         let addr = server.server_addr().to_ip().expect("an IP address");
         let engine = Self {
@@ -137,7 +139,7 @@
             addr,
             fabric: fabric.clone(),
             state: Arc::new(Mutex::new(State {
-                knobs,
+                params,
                 fence: 0,
                 cancelled: BTreeSet::new(),
                 running: 0,
@@ -153,14 +155,14 @@
         engine
     }
 
-    /// Where it listens.
+    /// Its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Changes how it behaves.
+    /// Changes its parameters.
     pub fn set_knobs(&self, change: impl FnOnce(&mut EngineKnobs)) {
-        change(&mut self.lock().knobs);
+        change(&mut self.lock().params);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -179,7 +181,7 @@
             }
             "/runrail/v1/status" => {
                 let state = self.lock();
-                let answer = json!({ "slots": state.knobs.slots, "running": state.running });
+                let answer = json!({ "slots": state.params.slots, "running": state.running });
                 drop(state);
                 respond::json(request, 200, &answer);
             }
@@ -188,10 +190,11 @@
         }
     }
 
-    /// Whether a fence is good; a higher one bars all lower ones.
-    fn admit(&self, fence: u64) -> bool {
+    /// Whether a fence is accepted. Where the engine is fenced, it accepts none that is lower than the
+    /// highest one accepted before.
+    fn accept_fence(&self, fence: u64) -> bool {
         let mut state = self.lock();
-        if state.knobs.fenced && fence < state.fence {
+        if state.params.fenced && fence < state.fence {
             return false;
         }
         state.fence = state.fence.max(fence);
@@ -200,13 +203,13 @@
 
     fn load(&self, request: Request, body: &Value) {
         let fence = body["fence"].as_u64().unwrap_or(0);
-        if !self.admit(fence) {
+        if !self.accept_fence(fence) {
             return respond::json(request, 412, &json!({ "fence": self.lock().fence }));
         }
-        let knobs = self.lock().knobs.clone();
-        std::thread::sleep(knobs.load);
+        let params = self.lock().params.clone();
+        std::thread::sleep(params.load);
         let version = body["version"].as_str().unwrap_or_default().to_string();
-        if knobs.broken_versions.contains(&version) {
+        if params.broken_versions.contains(&version) {
             return respond::json(request, 500, &json!({ "error": "weights are damaged" }));
         }
         let size = body["size"].as_u64().unwrap_or(1);
@@ -220,7 +223,7 @@
         let header = |name| respond::header(&request, name).unwrap_or_default();
         let fence = header("Runrail-Fence").parse().unwrap_or(0);
         let run = header("Runrail-Run");
-        if !self.admit(fence) {
+        if !self.accept_fence(fence) {
             return respond::json(request, 412, &json!({ "fence": self.lock().fence }));
         }
         let messages = body["messages"].as_array();
@@ -238,7 +241,7 @@
         });
         self.lock().running += 1;
         let mut writer = request.into_writer();
-        // A caller that has hung up ends the run.
+        // An error means that the caller has hung up or the answer was aborted; the run ends.
         let _ = self.answer(&mut *writer, body, &run, fence, prompt, offset);
         self.lock().running -= 1;
     }
@@ -252,39 +255,39 @@
         prompt: &str,
         offset: u64,
     ) -> std::io::Result<()> {
-        let knobs = self.lock().knobs.clone();
-        let pieces = body["max_tokens"].as_u64().unwrap_or(knobs.pieces);
+        let params = self.lock().params.clone();
+        let pieces = body["max_tokens"].as_u64().unwrap_or(params.pieces);
         respond::stream_head(writer, "text/event-stream")?;
         for i in offset..pieces {
-            std::thread::sleep(knobs.piece);
+            std::thread::sleep(params.piece);
             if self.lock().cancelled.remove(run) {
-                event(writer, &chunk("", Some("cancelled")))?;
+                write_event(writer, &chunk_json("", Some("cancelled")))?;
                 return respond::chunk(writer, "");
             }
             if !self.fabric.missing(fence).is_empty() {
-                // The replica is dead: its connection breaks.
+                // The group has lost a member. Bytes that aren't a chunk abort the answer.
                 writer.write_all(b"broken\r\n")?;
                 return writer.flush();
             }
-            event(writer, &chunk(&piece(prompt, i), None))?;
+            write_event(writer, &chunk_json(&piece_text(prompt, i), None))?;
         }
-        event(writer, &chunk("", Some("stop")))?;
+        write_event(writer, &chunk_json("", Some("stop")))?;
         respond::chunk(writer, "data: [DONE]\n\n")?;
         respond::chunk(writer, "")
     }
 }
 
-/// The text of a piece, which depends on nothing but prompt and place.
-fn piece(prompt: &str, index: u64) -> String {
+/// Text of a piece; it depends only on the prompt and the index.
+fn piece_text(prompt: &str, index: u64) -> String {
     let words: Vec<_> = prompt.split_whitespace().collect();
     let word = words.get(index as usize % words.len().max(1));
     format!("{}{index} ", word.unwrap_or(&"word"))
 }
 
-fn chunk(text: &str, finish: Option<&str>) -> Value {
+fn chunk_json(text: &str, finish: Option<&str>) -> Value {
     json!({ "choices": [{ "index": 0, "delta": { "content": text }, "finish_reason": finish }] })
 }
 
-fn event(writer: &mut dyn Write, value: &Value) -> std::io::Result<()> {
+fn write_event(writer: &mut dyn Write, value: &Value) -> std::io::Result<()> {
     respond::chunk(writer, &format!("data: {value}\n\n"))
 }
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -13,51 +13,51 @@
     Relay, Service,
 };
 
-/// Longest wait for something that must happen.
+/// Timeout for events that must happen.
 pub const LONG: Duration = Duration::from_secs(40);
 /// Bearer key of the client account `desk`.
 pub const DESK_KEY: &str = "desk-key";
 /// Bearer key of the client account `branch`.
 pub const BRANCH_KEY: &str = "branch-key";
 
-/// A fleet of real processes around stand-ins.
+/// A fleet of real processes that run against stand-ins of the platform, the engines and a service.
 ///
 /// Every process is reached through a relay of its own, and each router
-/// reaches the platform through another, so that any of them can be cut off.
+/// reaches the platform through another one, so that any of these paths can be cut.
 pub struct Fleet {
-    /// Stand-in for the platform.
+    /// Stand-in of the platform.
     pub platform: Platform,
-    /// Joins the engines.
+    /// Fabric between the engines.
     pub fabric: Fabric,
-    /// Engines by instance.
+    /// Engines, by instance id.
     pub engines: BTreeMap<String, Engine>,
     /// The plain service `checkout`.
     pub service: Service,
-    /// Routers by instance.
+    /// Routers, by instance id.
     pub routers: BTreeMap<String, Process>,
-    /// Agents by instance.
+    /// Agents, by instance id.
     pub agents: BTreeMap<String, Process>,
-    /// The way into each process.
+    /// Relay in front of each process, by instance id.
     pub relays: BTreeMap<String, Relay>,
-    /// Each router's way to the platform.
+    /// Relay between each router and the platform, by the router's instance id.
     pub platform_relays: BTreeMap<String, Relay>,
     binary: String,
     dir: TempDir,
     lease_ms: u64,
 }
 
-/// What a fleet consists of.
+/// Size and parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engine instances in the one fabric domain.
+    /// Number of engine instances, all in one fabric domain.
     pub engines: usize,
     /// Whether the plain service has an instance.
     pub service: bool,
-    /// Length of a presence lease.
+    /// Length of the presence leases that members grant their leader, in milliseconds.
     pub lease_ms: u64,
-    /// How engines behave.
+    /// Parameters of the engines.
     pub engine: EngineKnobs,
 }
 
@@ -73,7 +73,8 @@
     }
 }
 
-/// A bundle for tests: a model of four instances and a plain service.
+/// A bundle for tests: a model with groups of four instances, `groups` of them in each hall, and
+/// a plain service.
 pub fn test_bundle(groups: u32) -> Value {
     let key = |key: &str| {
         let digest = Sha256::digest(key.as_bytes());
@@ -101,7 +102,7 @@
 }
 
 impl Fleet {
-    /// Starts the processes; no bundle is in force yet.
+    /// Starts the processes; no bundle is rolled out yet.
     ///
     /// # Panics
     /// When a process can't be started.
@@ -140,10 +141,10 @@
         fleet
     }
 
-    /// Starts a fleet and puts the test bundle in force.
+    /// Starts a fleet, rolls out the test bundle and waits until its groups are open.
     ///
     /// # Panics
-    /// When that doesn't happen in time.
+    /// When a step takes longer than [`LONG`].
     pub fn serving(binary: &str, plan: &FleetPlan) -> Self {
         let fleet = Self::start(binary, plan);
         let groups = (plan.engines / 4).max(1);
@@ -152,7 +153,7 @@
         fleet
     }
 
-    /// Starts or restarts an agent; its address in the list stays the same.
+    /// Starts or restarts an agent; its address in the instance list stays the same.
     pub fn start_agent(&mut self, id: &str) {
         let (endpoint, kind) = match self.engines.get(id) {
             Some(engine) => (engine.addr(), "engine"),
@@ -172,7 +173,7 @@
         self.agents.insert(id.to_string(), process);
     }
 
-    /// Starts or restarts a router; its address in the list stays the same.
+    /// Starts or restarts a router; its address in the instance list stays the same.
     pub fn start_router(&mut self, id: &str) {
         let platform = self.platform.addr();
         let relay = self
@@ -218,7 +219,7 @@
         process
     }
 
-    /// Where a process writes its log.
+    /// Path of a process's log.
     pub fn log(&self, id: &str) -> PathBuf {
         self.dir.path().join(format!("{id}.log"))
     }
@@ -232,14 +233,14 @@
             .collect()
     }
 
-    /// A file of the fleet's folder.
+    /// Path of a file in the fleet's folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
 
-    /// Lists every process as live.
+    /// Replaces the instance list by one that has every process as live.
     pub fn list_all(&self) {
-        let row = |id: &String, kind: &str, domain: &str| ListedInstance {
+        let entry = |id: &String, kind: &str, domain: &str| ListedInstance {
             id: id.clone(),
             hall: "brno1".into(),
             domain: domain.into(),
@@ -251,13 +252,13 @@
         for id in self.agents.keys() {
             let engine = self.engines.contains_key(id);
             let kind = if engine { "engine" } else { "service:checkout" };
-            rows.push(row(id, kind, "d1"));
+            rows.push(entry(id, kind, "d1"));
         }
-        rows.extend(self.routers.keys().map(|id| row(id, "router", "")));
+        rows.extend(self.routers.keys().map(|id| entry(id, "router", "")));
         self.platform.set_instances(rows);
     }
 
-    /// Runs the program as an operator at a router.
+    /// Runs an operator's command against a router.
     pub fn operate(&self, operator: &str, router: &str, args: &[&str]) -> Output {
         let addr = self.routers[router].operators.expect("an address");
         Command::new(&self.binary)
@@ -270,10 +271,10 @@
             .expect("the binary starts")
     }
 
-    /// Submits, approves and rolls a bundle; returns its number.
+    /// Submits, approves and rolls out a bundle; returns its number.
     ///
     /// # Panics
-    /// When that isn't done in time.
+    /// When a step doesn't succeed within [`LONG`].
     pub fn roll(&self, bundle: &Value) -> u64 {
         let router = self.routers.keys().next().expect("a router").clone();
         let number = self.submit(&router, bundle);
@@ -284,7 +285,7 @@
                     .status
                     .success()
             });
-            assert!(done, "bundle {number}: no {verb}");
+            assert!(done, "bundle {number}: {verb} did not succeed in time");
         }
         number
     }
@@ -292,7 +293,7 @@
     /// Submits a bundle; returns its number.
     ///
     /// # Panics
-    /// When that isn't done in time.
+    /// When a step doesn't succeed within [`LONG`].
     pub fn submit(&self, router: &str, bundle: &Value) -> u64 {
         let file = self.file("bundle.json");
         std::fs::write(&file, bundle.to_string()).expect("a file");
@@ -306,17 +307,17 @@
                 .find_map(|w| w.trim_end_matches(';').parse().ok());
             output.status.success()
         });
-        assert!(done, "no bundle was submitted");
+        assert!(done, "the bundle was not submitted in time");
         number.expect("the number of the bundle")
     }
 
-    /// The fleet as a router sees it.
+    /// Status of the fleet as a router reports it; null when it reports none.
     pub fn status(&self, router: &str) -> Value {
         let output = self.operate("anna", router, &["status", "--json"]);
         serde_json::from_slice(&output.stdout).unwrap_or_default()
     }
 
-    /// Groups that a router sees open.
+    /// Open groups of model `desk` that a router reports.
     pub fn open_groups(&self, router: &str) -> Vec<Value> {
         let status = self.status(router);
         let groups = status["groups"].as_array().cloned().unwrap_or_default();
@@ -326,32 +327,33 @@
             .collect()
     }
 
-    /// Waits until every router sees this many open groups.
+    /// Waits until every router reports at least this many open groups of model `desk`.
     ///
     /// # Panics
-    /// When that doesn't happen in time.
+    /// When a step takes longer than [`LONG`].
     pub fn wait_open(&self, count: usize) {
         for router in self.routers.keys() {
             let open = until(LONG, || self.open_groups(router).len() >= count);
             assert!(
                 open,
-                "{router} sees no {count} open groups: {}",
+                "{router} reports fewer than {count} open groups: {}",
                 self.status(router)
             );
         }
     }
 
-    /// Address for callers of a router.
+    /// A router's address for callers.
     pub fn callers(&self, router: &str) -> SocketAddr {
         self.routers[router].callers.expect("an address")
     }
 
-    /// Makes a chat call at a router.
+    /// Sends a chat request to a router.
     pub fn chat(&self, router: &str, call: &Chat) -> Answer {
         post(self.callers(router), &call.to_call())
     }
 
-    /// Names of a group's members, its leader first.
+    /// Instance ids of the members of the first group of model `desk` that a router reports, its leader
+    /// first.
     pub fn members(&self, router: &str) -> Vec<String> {
         let groups = self.status(router)["groups"]
             .as_array()
@@ -368,20 +370,20 @@
     }
 }
 
-/// A chat call as tests make it.
+/// A chat request of a test.
 #[derive(Clone, Debug)]
 pub struct Chat {
     /// Bearer key.
     pub key: String,
-    /// Class.
+    /// Request class.
     pub class: String,
     /// Prompt.
     pub prompt: String,
-    /// Pieces of the answer.
+    /// Number of pieces of the answer.
     pub pieces: u64,
-    /// `Idempotency-Key`.
+    /// Value of the header `Idempotency-Key`.
     pub once: Option<String>,
-    /// Deadline in milliseconds.
+    /// Value of the header `Runrail-Deadline-Ms`.
     pub deadline_ms: Option<u64>,
 }
 
@@ -399,7 +401,7 @@
 }
 
 impl Chat {
-    /// The HTTP call.
+    /// The HTTP request for it.
     pub fn to_call(&self) -> Call {
         let body = json!({
             "model": "desk",
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for the systems that runrail meets; never shipped.
+//! Small stand-ins of the systems around runrail, and fleets of real processes that run against
+//! them; never shipped.
 //!
-//! They listen on loopback and record what was
-//! asked of them, so that tests can judge from outside.
+//! The stand-ins listen on loopback and record the requests that they get, so that tests can check
+//! the processes from outside.
 
 #[path = "../standin/mod.rs"]
 pub mod direct;
--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -12,24 +12,24 @@
 
 use crate::respond;
 
-/// What is wrong with the platform.
+/// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlatformFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// No call is answered or carried out, and watches break.
+    /// Every call is answered with 503 and not carried out; open watches are aborted.
     Down,
-    /// Each call takes this long.
+    /// Every call is delayed by this time.
     Slow(Duration),
-    /// Writes take effect but their answers are lost.
+    /// Transactions are carried out but answered with 503.
     LoseWriteAnswers,
 }
 
 /// One row of the instance list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListedInstance {
-    /// Name.
+    /// Instance id.
     pub id: String,
     /// Data hall.
     pub hall: String,
@@ -39,11 +39,11 @@
     pub kind: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// Address of the process of the system.
+    /// Address at which other processes reach it.
     pub addr: SocketAddr,
 }
 
-/// A stand-in for the platform: the etcd v3 JSON API and the instance list.
+/// A stand-in of the platform: the etcd v3 JSON API and the instance list.
 #[derive(Clone)]
 pub struct Platform {
     addr: SocketAddr,
@@ -58,7 +58,7 @@
 #[derive(Default)]
 struct State {
     revision: i64,
-    keys: BTreeMap<String, Kept>,
+    keys: BTreeMap<String, StoredValue>,
     history: Vec<Change>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
@@ -71,7 +71,7 @@
 }
 
 #[derive(Clone)]
-struct Kept {
+struct StoredValue {
     value: String,
     created: i64,
     modified: i64,
@@ -81,19 +81,20 @@
 struct Change {
     revision: i64,
     key: String,
-    value: Option<Kept>,
+    value: Option<StoredValue>,
 }
 
 struct Lease {
+    /// Time to live, in seconds.
     ttl: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Platform {
-    /// Starts it.
+    /// Starts it on a free port.
     ///
     /// # Panics
-    /// When no port can be had.
+    /// When no port is free.
     pub fn start() -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port");
         let addr = server.server_addr().to_ip().expect("an IP address");
@@ -117,12 +118,12 @@
         platform
     }
 
-    /// Where it listens.
+    /// Its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: PlatformFault) {
         self.lock().fault = fault;
         self.shared.changed.notify_all();
@@ -149,12 +150,12 @@
         state.list_version += 1;
     }
 
-    /// Value of a key.
+    /// Current value of a key.
     pub fn get(&self, key: &str) -> Option<String> {
         self.lock().keys.get(key).map(|k| k.value.clone())
     }
 
-    /// Keys and values below a prefix.
+    /// Keys that begin with a prefix, and their values.
     pub fn scan(&self, prefix: &str) -> Vec<(String, String)> {
         let state = self.lock();
         let keys = state.keys.iter().filter(|(k, _)| k.starts_with(prefix));
@@ -170,7 +171,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Reads, writes and watches counted so far.
+    /// Numbers of reads, writes (with lease calls) and watches so far.
     pub fn calls(&self) -> (u64, u64, u64) {
         let state = self.lock();
         (state.reads, state.writes, state.watches)
@@ -190,12 +191,12 @@
             _ => {}
         }
         if url.starts_with("/instances") {
-            return self.list(request, &url);
+            return self.answer_list(request, &url);
         }
         if url == "/v3/watch" {
-            return self.watch(request, &body);
+            return self.answer_watch(request, &body);
         }
-        let answer = self.call(&url, &body);
+        let answer = self.answer_call(&url, &body);
         self.shared.changed.notify_all();
         let lost = fault == PlatformFault::LoseWriteAnswers && url == "/v3/kv/txn";
         match answer {
@@ -204,9 +205,9 @@
         }
     }
 
-    fn call(&self, url: &str, body: &Value) -> Option<Value> {
+    fn answer_call(&self, url: &str, body: &Value) -> Option<Value> {
         let mut state = self.lock();
-        state.expire();
+        state.expire_leases();
         match url {
             "/v3/kv/range" => {
                 state.reads += 1;
@@ -222,13 +223,13 @@
             }
             "/v3/lease/keepalive" => {
                 state.writes += 1;
-                Some(state.keep(body))
+                Some(state.keep_alive(body))
             }
             _ => None,
         }
     }
 
-    fn list(&self, request: Request, url: &str) {
+    fn answer_list(&self, request: Request, url: &str) {
         let hall = url.split_once("hall=").map(|(_, h)| h.to_string());
         let state = self.lock();
         let tag = state.list_version.to_string();
@@ -249,31 +250,32 @@
         let _ = request.respond(response);
     }
 
-    fn watch(&self, request: Request, body: &Value) {
+    fn answer_watch(&self, request: Request, body: &Value) {
         let create = &body["create_request"];
-        let (from, to) = bounds(create);
-        let mut next = number(&create["start_revision"]);
+        let (from, to) = key_range(create);
+        let mut next = parse_number(&create["start_revision"]);
         self.lock().watches += 1;
         let mut writer = request.into_writer();
         if respond::stream_head(&mut *writer, "application/json").is_err() {
             return;
         }
         loop {
-            let Some((events, seen)) = self.wait_changes(&from, &to, next) else {
-                // The server keeps the connection; what isn't a chunk breaks it.
+            let Some((events, revision)) = self.wait_changes(&from, &to, next) else {
+                // The HTTP server keeps the connection open. Bytes that aren't a chunk abort the watch.
                 let _ = writer.write_all(b"broken\r\n");
                 let _ = writer.flush();
                 return;
             };
-            next = seen + 1;
-            let line = json!({ "result": { "header": { "revision": seen.to_string() }, "events": events } });
+            next = revision + 1;
+            let line = json!({ "result": { "header": { "revision": revision.to_string() }, "events": events } });
             if respond::chunk(&mut *writer, &format!("{line}\n")).is_err() {
                 return;
             }
         }
     }
 
-    /// Waits for changes from a revision on; `None` when the watch breaks.
+    /// Waits for changes of a key range from revision `next` on; returns them and the current
+    /// revision. `None` when the platform is down.
     fn wait_changes(&self, from: &str, to: &str, next: i64) -> Option<(Vec<Value>, i64)> {
         let mut state = self.lock();
         loop {
@@ -283,7 +285,7 @@
             let events: Vec<_> = state
                 .history
                 .iter()
-                .filter(|c| c.revision >= next && within(&c.key, from, to))
+                .filter(|c| c.revision >= next && in_range(&c.key, from, to))
                 .map(Change::to_json)
                 .collect();
             if !events.is_empty() {
@@ -294,7 +296,7 @@
                 .changed
                 .wait_timeout(state, Duration::from_millis(200));
             state = waited.unwrap_or_else(|e| e.into_inner()).0;
-            state.expire();
+            state.expire_leases();
         }
     }
 }
@@ -302,17 +304,17 @@
 impl State {
     fn put(&mut self, key: &str, value: &str, lease: i64) {
         let created = self.keys.get(key).map_or(self.revision, |k| k.created);
-        let kept = Kept {
+        let stored = StoredValue {
             value: value.to_string(),
             created,
             modified: self.revision,
             lease,
         };
-        self.keys.insert(key.to_string(), kept.clone());
+        self.keys.insert(key.to_string(), stored.clone());
         self.history.push(Change {
             revision: self.revision,
             key: key.to_string(),
-            value: Some(kept),
+            value: Some(stored),
         });
     }
 
@@ -326,15 +328,15 @@
         }
     }
 
-    fn expire(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let ended: Vec<_> = self
+        let expired: Vec<_> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.until <= now)
+            .filter(|(_, l)| l.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in ended {
+        for id in expired {
             self.leases.remove(&id);
             let keys: Vec<_> = self
                 .keys
@@ -354,38 +356,38 @@
     }
 
     fn range(&self, body: &Value) -> Value {
-        let (from, to) = bounds(body);
+        let (from, to) = key_range(body);
         let kvs: Vec<_> = self
             .keys
             .iter()
-            .filter(|(k, _)| within(k, &from, &to))
+            .filter(|(k, _)| in_range(k, &from, &to))
             .map(|(k, v)| v.to_json(k))
             .collect();
         json!({ "header": self.header(), "kvs": kvs, "count": kvs.len().to_string() })
     }
 
     fn txn(&mut self, body: &Value) -> Option<Value> {
-        let holds = list(&body["compare"]).iter().all(|c| {
-            let key = text(&c["key"]);
+        let holds = array(&body["compare"]).iter().all(|c| {
+            let key = decode_text(&c["key"]);
             let modified = self.keys.get(&key).map_or(0, |k| k.modified);
-            modified == number(&c["mod_revision"])
+            modified == parse_number(&c["mod_revision"])
         });
         let branch = if holds { "success" } else { "failure" };
-        let changes = holds && !list(&body["success"]).is_empty();
-        if changes {
+        let has_writes = holds && !array(&body["success"]).is_empty();
+        if has_writes {
             self.revision += 1;
         }
         let mut responses = Vec::new();
-        for op in list(&body[branch]) {
+        for op in array(&body[branch]) {
             if let Some(put) = op.get("request_put") {
                 self.put(
-                    &text(&put["key"]),
-                    &text(&put["value"]),
-                    number(&put["lease"]),
+                    &decode_text(&put["key"]),
+                    &decode_text(&put["value"]),
+                    parse_number(&put["lease"]),
                 );
                 responses.push(json!({ "response_put": {} }));
             } else if let Some(delete) = op.get("request_delete_range") {
-                self.delete(&text(&delete["key"]));
+                self.delete(&decode_text(&delete["key"]));
                 responses.push(json!({ "response_delete_range": {} }));
             } else if let Some(range) = op.get("request_range") {
                 responses.push(json!({ "response_range": self.range(range) }));
@@ -395,26 +397,26 @@
     }
 
     fn grant(&mut self, body: &Value) -> Value {
-        let ttl = number(&body["TTL"]).max(1) as u64;
+        let ttl = parse_number(&body["TTL"]).max(1) as u64;
         let id = self.next_lease;
         self.next_lease += 1;
-        let until = Instant::now() + Duration::from_secs(ttl);
-        self.leases.insert(id, Lease { ttl, until });
+        let expires_at = Instant::now() + Duration::from_secs(ttl);
+        self.leases.insert(id, Lease { ttl, expires_at });
         json!({ "header": self.header(), "ID": id.to_string(), "TTL": ttl.to_string() })
     }
 
-    fn keep(&mut self, body: &Value) -> Value {
-        let id = number(&body["ID"]);
+    fn keep_alive(&mut self, body: &Value) -> Value {
+        let id = parse_number(&body["ID"]);
         let mut result = json!({ "ID": id.to_string() });
         if let Some(lease) = self.leases.get_mut(&id) {
-            lease.until = Instant::now() + Duration::from_secs(lease.ttl);
+            lease.expires_at = Instant::now() + Duration::from_secs(lease.ttl);
             result["TTL"] = Value::String(lease.ttl.to_string());
         }
         json!({ "result": result })
     }
 }
 
-impl Kept {
+impl StoredValue {
     fn to_json(&self, key: &str) -> Value {
         json!({
             "key": STANDARD.encode(key),
@@ -429,7 +431,7 @@
 impl Change {
     fn to_json(&self) -> Value {
         match &self.value {
-            Some(kept) => json!({ "kv": kept.to_json(&self.key) }),
+            Some(stored) => json!({ "kv": stored.to_json(&self.key) }),
             None => json!({
                 "type": "DELETE",
                 "kv": {
@@ -441,11 +443,12 @@
     }
 }
 
-fn bounds(body: &Value) -> (String, String) {
-    (text(&body["key"]), text(&body["range_end"]))
+/// First key of a range and the key after its last one; the second is empty for a single key.
+fn key_range(body: &Value) -> (String, String) {
+    (decode_text(&body["key"]), decode_text(&body["range_end"]))
 }
 
-fn within(key: &str, from: &str, to: &str) -> bool {
+fn in_range(key: &str, from: &str, to: &str) -> bool {
     if to.is_empty() {
         key == from
     } else {
@@ -453,20 +456,20 @@
     }
 }
 
-fn text(value: &Value) -> String {
+fn decode_text(value: &Value) -> String {
     let bytes = value.as_str().and_then(|t| STANDARD.decode(t).ok());
     bytes
         .and_then(|b| String::from_utf8(b).ok())
         .unwrap_or_default()
 }
 
-fn number(value: &Value) -> i64 {
+fn parse_number(value: &Value) -> i64 {
     match value {
         Value::String(text) => text.parse().unwrap_or(0),
         other => other.as_i64().unwrap_or(0),
     }
 }
 
-fn list(value: &Value) -> &[Value] {
+fn array(value: &Value) -> &[Value] {
     value.as_array().map_or(&[], |v| v.as_slice())
 }
--- a/testkit/src/ports.rs
+++ b/testkit/src/ports.rs
@@ -1,33 +1,34 @@
-//! Addresses on loopback that nothing else takes.
+//! Loopback addresses for the processes of tests.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// First port that is handed out: below the range from which the system takes ports of
-/// outgoing connections, so that none of these takes one before its process listens.
-const FIRST: u16 = 10_000;
+/// First port that is handed out. The range lies below the system's ephemeral ports, so that no
+/// outgoing connection takes a port before its process listens there.
+const FIRST_PORT: u16 = 10_000;
 
-/// Ports that are handed out from the first one on.
-const COUNT: u16 = 20_000;
+/// Number of ports in the range.
+const PORT_COUNT: u16 = 20_000;
 
-/// Ports between those that two processes of tests begin with.
-const APART: u32 = 97;
+/// Distance between the ports with which test processes of consecutive process ids begin.
+const PROCESS_STRIDE: u32 = 97;
 
 static NEXT: AtomicU16 = AtomicU16::new(0);
 
-/// An address that was free just now and that this process hands out once.
+/// A loopback address that is free for TCP and UDP. A process hands out each address once until all
+/// ports of the range have been tried.
 ///
 /// # Panics
-/// Panics where no port of the range is free.
+/// When no port of the range is free.
 pub fn free_addr() -> SocketAddr {
-    let start = (std::process::id().wrapping_mul(APART) % u32::from(COUNT)) as u16;
-    for _ in 0..COUNT {
+    let start = (std::process::id().wrapping_mul(PROCESS_STRIDE) % u32::from(PORT_COUNT)) as u16;
+    for _ in 0..PORT_COUNT {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST + (start + step % COUNT) % COUNT;
+        let port = FIRST_PORT + (start + step % PORT_COUNT) % PORT_COUNT;
         let addr = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(addr).is_ok() && UdpSocket::bind(addr).is_ok() {
             return addr;
         }
     }
-    panic!("no port from {FIRST} on is free");
+    panic!("no port from {FIRST_PORT} on is free");
 }
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -11,22 +11,22 @@
 
 /// One process of the system under test; killed when it is dropped.
 pub struct Process {
-    /// Its instance.
+    /// Instance id.
     pub id: String,
-    /// Where other processes reach it.
+    /// Address for other processes.
     pub peers: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers, where it has one.
     pub callers: Option<SocketAddr>,
-    /// Where operators reach it.
+    /// Address for operators, where it has one.
     pub operators: Option<SocketAddr>,
     child: Child,
 }
 
 impl Process {
-    /// Starts a role and waits until it listens.
+    /// Starts the binary in a role and waits until it reports its addresses.
     ///
     /// # Panics
-    /// When it can't be started or doesn't get ready.
+    /// When it can't be started or ends before it reports its addresses.
     pub fn start(binary: &str, role: &str, id: &str, settings: &Path, log: &Path) -> Self {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -46,7 +46,7 @@
             .spawn()
             .expect("the binary starts");
         let stdout = child.stdout.take().expect("stdout is piped");
-        let line = follow(stdout, log);
+        let line = copy_output(stdout, log);
         let addr = |name: &str| {
             let part = line.split_whitespace().find_map(|p| p.strip_prefix(name));
             part.and_then(|a| a.parse().ok())
@@ -68,46 +68,46 @@
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        // A process that has ended takes no signal.
+        // An error means that the process has ended already.
         let _ = kill(pid, signal);
     }
 
-    /// Ends it without warning.
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Pauses it.
+    /// Suspends it (`SIGSTOP`).
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Lets it run on after a pause (`SIGCONT`).
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks it to stop in order.
+    /// Asks it to shut down (`SIGTERM`).
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Whether it has ended, and well.
+    /// Whether it ended with success; `None` while it runs.
     pub fn ended(&mut self) -> Option<bool> {
         let status = self.child.try_wait().ok().flatten();
         status.map(|s| s.success())
     }
 }
 
-/// Copies what a process writes to its log, and returns its line that begins with
-/// `ready`; empty where it ends before.
-fn follow(stdout: impl Read + Send + 'static, mut log: File) -> String {
+/// Copies the output of a process to its log in the background; returns its first line that begins
+/// with `ready`, or an empty text when it ends before.
+fn copy_output(stdout: impl Read + Send + 'static, mut log: File) -> String {
     let (ready, line) = channel();
     std::thread::spawn(move || {
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
             if line.starts_with("ready ") {
-                // Only the first is awaited.
+                // Only the first line is received; sending a later one fails.
                 let _ = ready.send(line.clone());
             }
             let _ = writeln!(log, "{line}");
@@ -123,7 +123,7 @@
     }
 }
 
-/// Waits until a condition holds; false when it doesn't in time.
+/// Waits until a condition holds; false when it doesn't hold within `limit`.
 pub fn until(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     while start.elapsed() < limit {
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -3,11 +3,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two looks at whether a relay is silent still.
-const SILENT: Duration = Duration::from_millis(20);
+/// Time between two checks whether a relay is still silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A TCP relay that can be cut: open connections break and new ones are refused. It can
-/// also pass bytes on late, or none for a while.
+/// A TCP relay that can be cut: open connections are shut down, and new ones are closed as soon as
+/// they are accepted. It can also delay bytes, or hold them back for a while.
 #[derive(Clone)]
 pub struct Relay {
     addr: SocketAddr,
@@ -26,7 +26,7 @@
     /// Starts a relay to a target.
     ///
     /// # Panics
-    /// When no port can be had.
+    /// When no port is free.
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -47,17 +47,17 @@
         relay
     }
 
-    /// Where it listens.
+    /// Its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends new connections to another target.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.lock().target = target;
     }
 
-    /// Cuts the relay, or heals it.
+    /// Cuts the relay or ends the cut.
     pub fn set_cut(&self, cut: bool) {
         let mut state = self.lock();
         state.cut = cut;
@@ -68,22 +68,22 @@
         }
     }
 
-    /// Passes nothing on until told otherwise; connections stay open.
+    /// Holds back all bytes, or ends that; connections stay open.
     pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
-    /// Passes everything on so much later.
+    /// Sets the delay before each pass of bytes.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// Waits for as long as the relay holds bytes back.
+    /// Waits for the delay, and then for as long as the relay is silent.
     fn hold(&self) {
         let delay = self.lock().delay;
         std::thread::sleep(delay);
         while self.lock().silent {
-            std::thread::sleep(SILENT);
+            std::thread::sleep(SILENCE_CHECK_INTERVAL);
         }
     }
 
--- a/testkit/src/respond.rs
+++ b/testkit/src/respond.rs
@@ -2,7 +2,7 @@
 
 use tiny_http::{Header, Request, Response, StatusCode};
 
-/// Reads a body as JSON; null when it isn't.
+/// Reads a body as JSON; null when it isn't valid JSON.
 pub(crate) fn read_json(request: &mut Request) -> serde_json::Value {
     let mut text = String::new();
     let _ = request.as_reader().read_to_string(&mut text);
--- a/testkit/src/service.rs
+++ b/testkit/src/service.rs
@@ -7,37 +7,37 @@
 
 use crate::respond;
 
-/// One call that a service carried out.
+/// One call that a service received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRun {
     /// Path.
     pub path: String,
     /// Body.
     pub body: String,
-    /// Fence of the order.
+    /// Fence from the header `Runrail-Fence`; 0 where there is none.
     pub fence: u64,
 }
 
-/// A stand-in for a plain service; it doesn't check fences.
+/// A stand-in of a plain service; it doesn't check fences.
 #[derive(Clone)]
 pub struct Service {
     addr: SocketAddr,
     runs: Arc<Mutex<Vec<ServiceRun>>>,
-    time: Arc<Mutex<Duration>>,
+    call_time: Arc<Mutex<Duration>>,
 }
 
 impl Service {
-    /// Starts a service.
+    /// Starts a service on a free port.
     ///
     /// # Panics
-    /// When no port can be had.
+    /// When no port is free.
     pub fn start() -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port");
         let addr = server.server_addr().to_ip().expect("an IP address");
         let service = Self {
             addr,
             runs: Arc::default(),
-            time: Arc::default(),
+            call_time: Arc::default(),
         };
         let serving = service.clone();
         std::thread::spawn(move || {
@@ -56,7 +56,7 @@
                         runs.push(run);
                         runs.len()
                     };
-                    let time = *service.time.lock().unwrap_or_else(|e| e.into_inner());
+                    let time = *service.call_time.lock().unwrap_or_else(|e| e.into_inner());
                     std::thread::sleep(time);
                     respond::json(request, 200, &json!({ "licence": number }));
                 });
@@ -65,17 +65,17 @@
         service
     }
 
-    /// Where it listens.
+    /// Its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
     /// Sets how long a call takes.
     pub fn set_time(&self, time: Duration) {
-        *self.time.lock().unwrap_or_else(|e| e.into_inner()) = time;
+        *self.call_time.lock().unwrap_or_else(|e| e.into_inner()) = time;
     }
 
-    /// Every call that was carried out.
+    /// All calls received so far.
     pub fn runs(&self) -> Vec<ServiceRun> {
         self.runs.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
--- a/testkit/src/sse_client.rs
+++ b/testkit/src/sse_client.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-/// A call as a caller makes it.
+/// An HTTP request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     /// Path.
@@ -15,35 +15,35 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// What a caller was told.
+/// Answer that a caller received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status; 0 when no answer came.
+    /// HTTP status; 0 when there was no answer.
     pub status: u16,
     /// Text of the answer: the streamed pieces joined, or the body.
     pub text: String,
-    /// Pieces of a stream.
+    /// Number of pieces of a stream.
     pub pieces: u64,
-    /// Whether the answer was complete.
+    /// Whether the answer arrived completely: a stream up to `[DONE]`.
     pub whole: bool,
-    /// `outcome` of a problem.
+    /// Field `outcome` of a problem document or of an error event.
     pub outcome: Option<String>,
-    /// Header `Retry-After`.
+    /// Value of the header `Retry-After`.
     pub retry_after: Option<String>,
-    /// Header `Runrail-Request`.
+    /// Value of the header `Runrail-Request`.
     pub request: Option<String>,
     /// Time to the first piece.
     pub first: Option<Duration>,
 }
 
 impl Answer {
-    /// Whether the whole answer came.
+    /// Whether the answer is complete and reports no failure.
     pub fn is_answered(&self) -> bool {
         self.whole && self.outcome.is_none() && self.status < 400
     }
 }
 
-/// Makes a call and reads the answer to its end.
+/// Sends a request and reads its answer to the end, for at most 60 s.
 pub fn post(addr: SocketAddr, call: &Call) -> Answer {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
