--- a/testkit/src/soak/client.rs
+++ b/testkit/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections open until the process at the other end is gone.
+//! Connections of the soak's callers, each of which sends many requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,59 +7,60 @@
 use super::Outcome;
 use crate::direct::{format_request, EVENTS};
 
-/// Longest time for a connection to come up.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest time without a byte of an answer.
-const READ: Duration = Duration::from_secs(8);
+/// Longest wait for the next bytes of an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Statuses that say that the request has not run.
+/// Statuses that report that the request has not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Statuses that refuse it for good.
+/// Statuses that refuse the request permanently.
 const REFUSED: [u16; 2] = [400, 422];
 
 /// An open connection to a router.
 pub(super) struct Connection {
     reader: BufReader<TcpStream>,
-    /// Whether the other end has said that it closes.
+    /// Whether an answer had `Connection: close`.
     pub closes: bool,
 }
 
-/// An answer as it was read.
+/// An answer as received.
 struct Answer {
     status: u16,
     body: String,
 }
 
 impl Connection {
-    /// Opens one, if that is to be had.
+    /// Opens a connection; `None` where that fails.
     pub fn open(addr: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&addr, CONNECT).ok()?;
-        stream.set_read_timeout(Some(READ)).ok()?;
+        let stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         let reader = BufReader::new(stream);
         let closes = false;
         Some(Self { reader, closes })
     }
 
-    /// Sends a request and reads its answer.
-    pub fn ask(&mut self, kind: &'static str, attempt: &str, body: &str) -> Outcome {
+    /// Sends a request of a kind and reads its answer.
+    pub fn send_request(&mut self, kind: &'static str, attempt: &str, body: &str) -> Outcome {
         let route = if kind == "fatal" { "stream" } else { kind };
         let text = format_request("POST", &format!("/{route}/x"), attempt, "keep-alive", body);
         let written = self.reader.get_mut().write_all(text.as_bytes());
-        match written.ok().and_then(|()| self.answer()) {
+        match written.ok().and_then(|()| self.read_answer()) {
             Some(answer) => outcome(route, &answer),
             None => Outcome::Closed,
         }
     }
 
-    /// Reads an answer; none where the connection ends before it.
-    fn answer(&mut self) -> Option<Answer> {
-        let status = self.line()?.split(' ').nth(1)?.parse().ok()?;
+    /// Reads an answer; `None` where the connection ends before the answer does, or the answer isn't
+    /// valid.
+    fn read_answer(&mut self) -> Option<Answer> {
+        let status = self.read_line()?.split(' ').nth(1)?.parse().ok()?;
         let (mut length, mut chunked) = (0, false);
         loop {
-            let line = self.line()?.to_ascii_lowercase();
+            let line = self.read_line()?.to_ascii_lowercase();
             if line.is_empty() {
                 break;
             }
@@ -72,34 +73,34 @@
             }
         }
         let body = if chunked {
-            self.chunks()?
+            self.read_chunks()?
         } else {
-            self.bytes(length)?
+            self.read_bytes(length)?
         };
         let body = String::from_utf8_lossy(&body).to_string();
         Some(Answer { status, body })
     }
 
-    fn line(&mut self) -> Option<String> {
+    fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).ok()?;
         (read > 0 && line.ends_with('\n')).then(|| line.trim_end().to_string())
     }
 
-    fn bytes(&mut self, length: usize) -> Option<Vec<u8>> {
+    fn read_bytes(&mut self, length: usize) -> Option<Vec<u8>> {
         let mut bytes = vec![0; length];
         self.reader.read_exact(&mut bytes).ok()?;
         Some(bytes)
     }
 
-    fn chunks(&mut self) -> Option<Vec<u8>> {
-        let mut all = Vec::new();
+    fn read_chunks(&mut self) -> Option<Vec<u8>> {
+        let mut body = Vec::new();
         loop {
-            let length = usize::from_str_radix(&self.line()?, 16).ok()?;
-            all.extend(self.bytes(length)?);
-            self.line()?;
+            let length = usize::from_str_radix(&self.read_line()?, 16).ok()?;
+            body.extend(self.read_bytes(length)?);
+            self.read_line()?;
             if length == 0 {
-                return Some(all);
+                return Some(body);
             }
         }
     }
@@ -107,7 +108,7 @@
 
 fn outcome(route: &str, answer: &Answer) -> Outcome {
     match answer.status {
-        200 if is_whole(route, &answer.body) => Outcome::Whole,
+        200 if is_complete(route, &answer.body) => Outcome::Whole,
         200 => Outcome::Wrong,
         status if NOT_RUN.contains(&status) => Outcome::NotRun,
         status if REFUSED.contains(&status) => Outcome::Refused,
@@ -115,8 +116,8 @@
     }
 }
 
-/// Whether a body is that of a whole answer on a route.
-fn is_whole(route: &str, body: &str) -> bool {
+/// Whether a body is the complete answer of a route.
+fn is_complete(route: &str, body: &str) -> bool {
     if route != "stream" {
         return body.contains("\"by\"");
     }
--- a/testkit/src/soak/driver.rs
+++ b/testkit/src/soak/driver.rs
@@ -1,4 +1,4 @@
-//! Carries faults out, each on a thread of its own.
+//! Injects faults into the fleet; each one is called on a thread of its own.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -10,86 +10,86 @@
 use crate::direct::{config, Copy, Router, Standin, FATAL};
 use crate::Relay;
 
-/// Longest time from the order to stop until a router has ended.
-const STOP: Duration = Duration::from_secs(6);
+/// Time limit from `SIGTERM` to the end of a router's process.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Longest time until a router that was started takes callers.
-const READY: Duration = Duration::from_secs(10);
+/// Time limit for a restarted router to get ready for callers.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(40);
+/// Time between two checks of a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Pause between two sends of the fatal request.
 const FATAL_PAUSE: Duration = Duration::from_millis(150);
 
-/// Engines that are added after the fatal request has come.
-const ADDED: usize = 3;
+/// Engines that are added after the sends of a fatal request, as it crashes engines.
+const ADDED_ENGINES: usize = 3;
 
-/// Values of another writer.
-const FOREIGN: [&str; 4] = ["", "7", "{\"Service\":[]}", "\u{1}\u{2}"];
+/// Invalid values that another writer puts into the endpoint list.
+const FOREIGN_VALUES: [&str; 4] = ["", "7", "{\"Service\":[]}", "\u{1}\u{2}"];
 
-/// Writes of others that follow a restore, by the fault's number, and their most: its count
-/// of revisions may pass where it was.
-const LATER_WRITES: usize = 37;
-const MOST_WRITES: usize = 200;
+/// Unrelated writes follow a restore: the fault's number times `WRITES_FACTOR`, modulo
+/// `MAX_WRITES`. With enough of them the revision passes the one that it had before the restore.
+const WRITES_FACTOR: usize = 37;
+const MAX_WRITES: usize = 200;
 
-/// A router and how often it has started.
-pub(super) struct Slot {
+/// A router and how often it was restarted.
+pub(super) struct RouterSlot {
     pub router: Router,
-    pub life: u32,
+    pub restarts: u32,
 }
 
-/// The fleet, and what was seen of it.
+/// The fleet under test and the record of the soak.
 pub(super) struct Driver {
     pub begin: Instant,
     pub standin: Standin,
-    pub slots: Vec<Mutex<Slot>>,
+    pub slots: Vec<Mutex<RouterSlot>>,
     pub relays: Vec<Relay>,
     pub record: Mutex<Record>,
     /// Version of the newest configuration.
     pub version: Mutex<u64>,
-    /// What the store may come back to.
-    pub copy: Mutex<Option<Copy>>,
+    /// Backup for the next restore of the store.
+    pub backup: Mutex<Option<Copy>>,
 }
 
-/// A lock whose holder has panicked holds what it held.
+/// Locks a mutex, also where a thread has panicked while it held the lock.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Driver {
     /// Milliseconds since the beginning.
-    pub fn now(&self) -> u64 {
+    pub fn now_ms(&self) -> u64 {
         self.begin.elapsed().as_millis() as u64
     }
 
-    /// Carries a fault out; `n` is its number in the plan.
-    pub fn carry_out(&self, n: usize, fault: &Fault) {
+    /// Injects a fault and waits until it is over; `n` is its number in the plan.
+    pub fn inject(&self, n: usize, fault: &Fault) {
         match fault {
             Fault::KillRouter(at) => self.kill_router(*at),
             Fault::StopRouter(at) => self.stop_router(*at),
             Fault::FreezeRouter(at, ms) => self.freeze_router(*at, *ms),
             Fault::CutStore(at, ms) => {
                 let relay = &self.relays[*at];
-                self.store_trouble(*at, *ms, |on| relay.set_cut(on));
+                self.disturb_store(*at, *ms, |on| relay.set_cut(on));
             }
             Fault::SlowStore(at, ms) => {
                 let (relay, delay) = (&self.relays[*at], Duration::from_millis(ms / 8));
                 let delays = |on| if on { delay } else { Duration::ZERO };
-                self.store_trouble(*at, *ms, |on| relay.set_delay(delays(on)));
+                self.disturb_store(*at, *ms, |on| relay.set_delay(delays(on)));
             }
             Fault::SilentStore(at, ms) => {
                 let relay = &self.relays[*at];
-                self.store_trouble(*at, *ms, |on| relay.set_silent(on));
+                self.disturb_store(*at, *ms, |on| relay.set_silent(on));
             }
             Fault::StoreDown(ms) => self.store_down(n, *ms, None),
             Fault::StoreRestored(ms) => {
-                let copy = lock(&self.copy).take();
-                self.store_down(n, *ms, copy);
+                let backup = lock(&self.backup).take();
+                self.store_down(n, *ms, backup);
             }
             Fault::ReplaceMember => self.replace_member(n),
             Fault::RestartEndpoint => self.restart_endpoint(n),
-            Fault::ForeignEntry => self.foreign_entry(n),
+            Fault::ForeignEntry => self.write_foreign_entry(n),
             Fault::Configure => {
                 let mut version = lock(&self.version);
                 *version += 1;
@@ -100,68 +100,69 @@
         }
     }
 
-    /// Remembers a fault of a router that began at a time and ends now.
-    fn router_fault(&self, at: usize, from_ms: u64) -> Span {
-        let to_ms = self.now();
+    /// Records a fault of a router that began at `from_ms` and ends now.
+    fn record_router_fault(&self, at: usize, from_ms: u64) -> Span {
+        let to_ms = self.now_ms();
         let span = Span { from_ms, to_ms };
         lock(&self.record).router_faults.push((at, span));
         span
     }
 
-    fn endpoint_fault(&self, from_ms: u64) {
-        let to_ms = self.now();
+    /// Records a fault of endpoints that began at `from_ms` and ends now.
+    fn record_endpoint_fault(&self, from_ms: u64) {
+        let to_ms = self.now_ms();
         let span = Span { from_ms, to_ms };
         lock(&self.record).endpoint_faults.push(span);
     }
 
     fn kill_router(&self, at: usize) {
-        let from = self.now();
-        self.start_anew(at);
-        self.router_fault(at, from);
+        let from = self.now_ms();
+        self.restart(at);
+        self.record_router_fault(at, from);
     }
 
-    /// Starts a router anew and waits until it takes callers.
-    fn start_anew(&self, at: usize) {
-        let life = {
+    /// Restarts a router and waits until it is ready for callers, or was restarted again.
+    fn restart(&self, at: usize) {
+        let restarts = {
             let mut slot = lock(&self.slots[at]);
             slot.router.restart();
-            slot.life += 1;
-            slot.life
+            slot.restarts += 1;
+            slot.restarts
         };
-        self.wait(READY, || {
+        self.wait_until(READY_TIMEOUT, || {
             let slot = lock(&self.slots[at]);
-            slot.life != life || slot.router.is_ready()
+            slot.restarts != restarts || slot.router.is_ready()
         });
     }
 
-    /// Waits until something holds; false where it doesn't in time.
-    fn wait(&self, most: Duration, mut done: impl FnMut() -> bool) -> bool {
-        let since = Instant::now();
-        while !done() {
-            if since.elapsed() > most {
+    /// Waits until a condition holds; false where it doesn't hold within `limit`.
+    fn wait_until(&self, limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
+        let start = Instant::now();
+        while !holds() {
+            if start.elapsed() > limit {
                 return false;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
     fn stop_router(&self, at: usize) {
-        let from = self.now();
-        let life = {
+        let from = self.now_ms();
+        let restarts = {
             let slot = lock(&self.slots[at]);
             slot.router.signal(Signal::SIGTERM);
-            slot.life
+            slot.restarts
         };
-        let in_order = self.wait(STOP, || {
+        let has_ended = self.wait_until(SHUTDOWN_TIMEOUT, || {
             let mut slot = lock(&self.slots[at]);
-            slot.life != life || matches!(slot.router.child.try_wait(), Ok(Some(_)))
+            slot.restarts != restarts || matches!(slot.router.child.try_wait(), Ok(Some(_)))
         });
-        let ended = self.now();
-        if lock(&self.slots[at]).life != life {
+        let ended = self.now_ms();
+        if lock(&self.slots[at]).restarts != restarts {
             return;
         }
-        if in_order {
+        if has_ended {
             let span = Span {
                 from_ms: from,
                 to_ms: ended,
@@ -170,16 +171,16 @@
             record.stops.push((at, span));
             record.router_faults.push((at, span));
         }
-        self.start_anew(at);
-        self.router_fault(at, ended + 1);
+        self.restart(at);
+        self.record_router_fault(at, ended + 1);
     }
 
     fn freeze_router(&self, at: usize, ms: u64) {
-        let from = self.now();
+        let from = self.now_ms();
         self.signal(at, Signal::SIGSTOP);
         std::thread::sleep(Duration::from_millis(ms));
         self.signal(at, Signal::SIGCONT);
-        self.router_fault(at, from);
+        self.record_router_fault(at, from);
     }
 
     /// Signals a router unless it has ended.
@@ -190,25 +191,27 @@
         }
     }
 
-    fn store_trouble(&self, at: usize, ms: u64, set: impl Fn(bool)) {
-        let from = self.now();
+    /// Disturbs the connection of a router to the store for `ms` milliseconds.
+    fn disturb_store(&self, at: usize, ms: u64, set: impl Fn(bool)) {
+        let from = self.now_ms();
         set(true);
         std::thread::sleep(Duration::from_millis(ms));
         set(false);
-        self.router_fault(at, from);
+        self.record_router_fault(at, from);
     }
 
-    /// The store is away, and may come back from a copy; operators then write theirs again.
-    fn store_down(&self, n: usize, ms: u64, copy: Option<Copy>) {
-        let from = self.now();
+    /// Takes the store down for `ms` milliseconds. With a backup, it is then restored from it, and
+    /// the newest configuration is written again after half that time, as operators would.
+    fn store_down(&self, n: usize, ms: u64, backup: Option<Copy>) {
+        let from = self.now_ms();
         self.standin.world().store_down = true;
         std::thread::sleep(Duration::from_millis(ms));
-        let restored = copy.is_some();
+        let restored = backup.is_some();
         {
             let mut world = self.standin.world();
-            if let Some(copy) = copy {
-                world.restore(copy);
-                world.write_unrelated(n * LATER_WRITES % MOST_WRITES);
+            if let Some(backup) = backup {
+                world.restore(backup);
+                world.write_unrelated(n * WRITES_FACTOR % MAX_WRITES);
             }
             world.store_down = false;
         }
@@ -218,58 +221,58 @@
             self.standin.world().configure(&config(*version));
         }
         for at in 0..self.slots.len() {
-            self.router_fault(at, from);
+            self.record_router_fault(at, from);
         }
     }
 
-    /// An entry of another writer, under an id of its own or that of an endpoint.
-    fn foreign_entry(&self, n: usize) {
+    /// Writes an invalid entry of the endpoint list, under an id of its own or that of an endpoint.
+    fn write_foreign_entry(&self, n: usize) {
         let alive = self.standin.alive();
         let own = alive.get(n % alive.len().max(1)).filter(|_| n & 1 == 0);
         let id = own.cloned().unwrap_or_else(|| format!("foreign-{n}"));
-        let value = FOREIGN[n % FOREIGN.len()];
+        let value = FOREIGN_VALUES[n % FOREIGN_VALUES.len()];
         let mut world = self.standin.world();
         world.configure_key(&format!("servers/{id}"), value);
     }
 
     fn replace_member(&self, n: usize) {
-        let from = self.now();
+        let from = self.now_ms();
         let group = self.standin.open_groups().pop().unwrap_or_default();
         if let Some(victim) = group.get(n % group.len().max(1)) {
             self.standin.kill(victim);
             self.standin.add(&format!("n{n}"), "pool");
         }
-        self.endpoint_fault(from);
+        self.record_endpoint_fault(from);
     }
 
     fn restart_endpoint(&self, n: usize) {
-        let from = self.now();
+        let from = self.now_ms();
         let alive = self.standin.alive();
         if let Some(id) = alive.get(n % alive.len().max(1)) {
             self.standin.restart(id);
         }
-        self.endpoint_fault(from);
+        self.record_endpoint_fault(from);
     }
 
     fn fatal_request(&self, n: usize, times: u32) {
-        let from = self.now();
+        let from = self.now_ms();
         for time in 0..times {
             let at = time as usize % self.slots.len();
             let addr = lock(&self.slots[at]).router.callers;
             let attempt = format!("fatal{n}-{time}");
             if let Some(mut connection) = Connection::open(addr) {
-                self.ask(&mut connection, at, "fatal", attempt, FATAL);
+                self.send_request(&mut connection, at, "fatal", attempt, FATAL);
             }
             std::thread::sleep(FATAL_PAUSE);
         }
-        for added in 0..ADDED {
+        for added in 0..ADDED_ENGINES {
             self.standin.add(&format!("f{n}-{added}"), "pool");
         }
-        self.endpoint_fault(from);
+        self.record_endpoint_fault(from);
     }
 
-    /// Sends a request on a connection and records how it ended.
-    pub fn ask(
+    /// Sends a request on a connection and records its outcome.
+    pub fn send_request(
         &self,
         connection: &mut Connection,
         router: usize,
@@ -277,14 +280,14 @@
         attempt: String,
         body: &str,
     ) -> Outcome {
-        let at_ms = self.now();
-        let outcome = connection.ask(kind, &attempt, body);
+        let at_ms = self.now_ms();
+        let outcome = connection.send_request(kind, &attempt, body);
         let sample = Sample {
             attempt,
             kind,
             router,
             at_ms,
-            took_ms: self.now() - at_ms,
+            took_ms: self.now_ms() - at_ms,
             outcome,
         };
         lock(&self.record).samples.push(sample);
@@ -293,7 +296,7 @@
 
     fn limit_endpoint(&self, n: usize, rate: f64, ms: u64) {
         let id = format!("p{}", n % 2);
-        let (from_ms, since) = (self.now(), Instant::now());
+        let (from_ms, since) = (self.now_ms(), Instant::now());
         if self.standin.world().has_limit(&id) {
             return;
         }
@@ -306,7 +309,7 @@
             rate,
             span: Span {
                 from_ms,
-                to_ms: self.now(),
+                to_ms: self.now_ms(),
             },
             arrivals_ms: arrivals.iter().map(after).collect(),
         };
--- a/testkit/src/soak/fault.rs
+++ b/testkit/src/soak/fault.rs
@@ -1,40 +1,41 @@
 use std::fmt;
 
-/// One fault, with how long it lasts where it ends by itself.
+/// A fault, with the index of its router and its duration where it has these.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A router is killed and starts anew.
+    /// A router is killed and restarted.
     KillRouter(usize),
-    /// A router is told to stop, and starts anew once it has ended.
+    /// A router is shut down by `SIGTERM`, and restarted once it has ended.
     StopRouter(usize),
-    /// A router is paused for some milliseconds.
+    /// A router is suspended for some milliseconds.
     FreezeRouter(usize, u64),
     /// A router is cut off from the store for some milliseconds.
     CutStore(usize, u64),
-    /// What goes between a router and the store takes so many milliseconds longer.
+    /// For some milliseconds, bytes between a router and the store are delayed by an eighth of that
+    /// time.
     SlowStore(usize, u64),
-    /// A router's connections to the store say nothing for some milliseconds.
+    /// A router's connections to the store stay open but pass no bytes for some milliseconds.
     SilentStore(usize, u64),
-    /// The store turns all calls away for some milliseconds.
+    /// The store answers all calls with 503 for some milliseconds.
     StoreDown(u64),
-    /// The same, and then it comes back from an older copy.
+    /// The same, after which the store is restored from a backup.
     StoreRestored(u64),
-    /// A member of an open group dies and another engine is added.
+    /// A member of an open group is killed and another engine is added.
     ReplaceMember,
-    /// An endpoint starts anew under its id.
+    /// An endpoint is killed and restarted under its id.
     RestartEndpoint,
-    /// An entry of another writer appears in the list.
+    /// Another writer puts an invalid entry into the endpoint list.
     ForeignEntry,
-    /// A new version of the configuration.
+    /// A new version of the configuration is written.
     Configure,
-    /// A request comes some times that crashes each endpoint which runs it.
+    /// A request that crashes every endpoint which runs it is sent some times.
     FatalRequest(u32),
-    /// An endpoint names a limit of so many requests a second for some milliseconds.
+    /// An endpoint names a rate limit, in requests a second, for some milliseconds.
     LimitEndpoint(u32, u64),
 }
 
 impl Fault {
-    /// Short name, for counts.
+    /// Short name, for the counts in the report.
     pub fn name(&self) -> &'static str {
         match self {
             Fault::KillRouter(_) => "kill-router",
--- a/testkit/src/soak/finding.rs
+++ b/testkit/src/soak/finding.rs
@@ -1,11 +1,11 @@
 use std::fmt;
 
-/// Something that must not be and was seen.
+/// A violation that a check has found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Which promise it breaks.
+    /// Name of the check: what must hold.
     pub check: &'static str,
-    /// What was seen.
+    /// What was seen instead.
     pub seen: String,
 }
 
--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/judge.rs
@@ -1,29 +1,27 @@
-//! What must hold in every soak.
+//! Checks of what must hold in every soak.
 
 use super::{Finding, Limited, Outcome, Record, Sample, Span};
 
-/// Time after its third crash from which on the fatal request is hardly sent any more.
-const CONTACT_MS: u64 = 3_000;
+/// Time in which all routers learn of the third crash under a request, or of an endpoint's rate
+/// limit.
+const PROPAGATION_MS: u64 = 3_000;
 
-/// Runs of the fatal request after that.
-const FATAL_LATER: usize = 3;
+/// Most runs of the fatal request that may begin later than that after its third run.
+const MAX_LATE_RUNS: usize = 3;
 
-/// Span over which requests at an endpoint with a limit are counted.
-const SPAN_MS: u64 = 4_000;
+/// Window over which requests at an endpoint with a rate limit are counted.
+const RATE_WINDOW_MS: u64 = 4_000;
 
-/// Time before and after a stop in which no other fault may be for it to count.
-const CALM_MS: u64 = 3_000;
+/// Time before a shutdown in which there must be no other fault for the shutdown to be checked.
+const FAULT_FREE_MS: u64 = 3_000;
 
-/// Most memory of a router, in kilobytes.
-const MEMORY_KB: u64 = 200 * 1_024;
+const MAX_MEMORY_KB: u64 = 200 * 1_024;
 
-/// Most descriptors of a router.
-const DESCRIPTORS: u64 = 1_000;
+const MAX_DESCRIPTORS: u64 = 1_000;
 
-/// Most bytes that a router logs in a second.
-const LOG_BYTES_S: u64 = 1_000_000;
+const MAX_LOG_BYTES_PER_S: u64 = 1_000_000;
 
-/// Checks a record; returns what must not be.
+/// Runs all checks on a record; returns the violations found.
 pub fn judge(record: &Record) -> Vec<Finding> {
     let mut found = Vec::new();
     let mut add = |check: &'static str, seen: Vec<String>| {
@@ -31,44 +29,56 @@
     };
     add(
         "a request that may not be repeated runs once",
-        twice(record),
+        repeated_runs(record),
+    );
+    add(
+        "what is said not to have run has not run",
+        not_run_but_ran(record),
+    );
+    add(
+        "an answer is the whole one to its request",
+        wrong_answers(record),
     );
-    add("what is said not to have run has not run", untrue(record));
-    add("an answer is the whole one to its request", wrong(record));
     add("groups keep apart", record.audit.clone());
-    add("a configuration never goes back", went_back(record));
-    add("a stop cuts nothing", cut(record));
+    add(
+        "a configuration never goes back",
+        decreasing_versions(record),
+    );
+    add("a stop cuts nothing", cut_requests(record));
     add(
         "harmless requests are not refused for good",
-        convicted(record),
+        refused_harmless(record),
+    );
+    add(
+        "a request that crashes endpoints is stopped",
+        late_fatal_runs(record),
     );
-    add("a request that crashes endpoints is stopped", fatal(record));
-    add("the limit of an endpoint is kept", limits(record));
+    add("the limit of an endpoint is kept", exceeded_limits(record));
     add(
         "memory, descriptors and logs are bounded",
-        unbounded(record),
+        excessive_usage(record),
     );
-    add("the fleet recovers", recovery(record));
+    add("the fleet recovers", missing_recovery(record));
     found
 }
 
-fn twice(record: &Record) -> Vec<String> {
-    let twice = record.once.iter().filter(|(_, runs)| **runs > 1);
-    twice
+fn repeated_runs(record: &Record) -> Vec<String> {
+    let repeated = record.once.iter().filter(|(_, runs)| **runs > 1);
+    repeated
         .map(|(id, runs)| format!("{id}: {runs} runs"))
         .collect()
 }
 
-fn untrue(record: &Record) -> Vec<String> {
-    let told = record
+fn not_run_but_ran(record: &Record) -> Vec<String> {
+    let not_run = record
         .samples
         .iter()
         .filter(|s| s.outcome == Outcome::NotRun);
-    let ran = told.filter(|s| record.ran.contains_key(&s.attempt));
+    let ran = not_run.filter(|s| record.ran.contains_key(&s.attempt));
     ran.map(describe).collect()
 }
 
-fn wrong(record: &Record) -> Vec<String> {
+fn wrong_answers(record: &Record) -> Vec<String> {
     let wrong = record
         .samples
         .iter()
@@ -76,23 +86,29 @@
     wrong.map(describe).collect()
 }
 
-fn went_back(record: &Record) -> Vec<String> {
-    let back = record.versions.iter().filter(|(_, told)| !told.is_sorted());
-    back.map(|((router, life), told)| format!("router {router}, life {life}: {told:?}"))
+fn decreasing_versions(record: &Record) -> Vec<String> {
+    let decreasing = record
+        .versions
+        .iter()
+        .filter(|(_, versions)| !versions.is_sorted());
+    decreasing
+        .map(|((router, restarts), versions)| {
+            format!("router {router}, restart {restarts}: {versions:?}")
+        })
         .collect()
 }
 
-/// Requests that were at work at an endpoint when their router was told to stop, and whose
-/// connection was closed, though nothing else was wrong.
-fn cut(record: &Record) -> Vec<String> {
+/// Requests that ran at an endpoint and whose connection was closed without a complete answer while
+/// their router was shutting down, though there was no other fault.
+fn cut_requests(record: &Record) -> Vec<String> {
     let mut seen = Vec::new();
-    for (router, stop) in calm_stops(record) {
+    for (router, stop) in isolated_stops(record) {
         let during = |s: &&Sample| {
             let span = Span {
                 from_ms: s.at_ms,
                 to_ms: s.at_ms + s.took_ms,
             };
-            s.router == router && span.meets(&stop) && s.outcome == Outcome::Closed
+            s.router == router && span.overlaps(&stop) && s.outcome == Outcome::Closed
         };
         let closed = record.samples.iter().filter(during);
         let lost = closed.filter(|s| record.ran.contains_key(&s.attempt));
@@ -101,93 +117,97 @@
     seen
 }
 
-/// Orderly stops around which nothing else was wrong, with the router.
-pub fn calm_stops(record: &Record) -> Vec<(usize, Span)> {
-    let calm = |stop: &Span| {
+/// Shutdowns during and before which there was no other fault, with the index of the router.
+pub fn isolated_stops(record: &Record) -> Vec<(usize, Span)> {
+    let is_isolated = |stop: &Span| {
         let around = Span {
-            from_ms: stop.from_ms.saturating_sub(CALM_MS),
+            from_ms: stop.from_ms.saturating_sub(FAULT_FREE_MS),
             to_ms: stop.to_ms,
         };
         let others = record.router_faults.iter().map(|(_, span)| span);
         let mut others = others.chain(&record.endpoint_faults);
-        !others.any(|fault| fault != stop && fault.meets(&around))
+        !others.any(|fault| fault != stop && fault.overlaps(&around))
     };
     let stops = record.stops.iter().copied();
-    stops.filter(|(_, stop)| calm(stop)).collect()
+    stops.filter(|(_, stop)| is_isolated(stop)).collect()
 }
 
-fn convicted(record: &Record) -> Vec<String> {
+fn refused_harmless(record: &Record) -> Vec<String> {
     let harmless = record.samples.iter().filter(|s| s.kind != "fatal");
     let refused = harmless.filter(|s| s.outcome == Outcome::Refused);
     refused.map(describe).collect()
 }
 
-fn fatal(record: &Record) -> Vec<String> {
+fn late_fatal_runs(record: &Record) -> Vec<String> {
     let Some(third) = record.fatal_ms.get(2) else {
         return Vec::new();
     };
     let later = record
         .fatal_ms
         .iter()
-        .filter(|at| **at > third + CONTACT_MS);
+        .filter(|at| **at > third + PROPAGATION_MS);
     let later = later.count();
     let all = record.fatal_ms.len();
-    let seen = format!("{later} runs later than {CONTACT_MS} ms after the third, {all} in all");
-    Vec::from_iter((later > FATAL_LATER).then_some(seen))
+    let seen = format!("{later} runs later than {PROPAGATION_MS} ms after the third, {all} in all");
+    Vec::from_iter((later > MAX_LATE_RUNS).then_some(seen))
 }
 
-fn limits(record: &Record) -> Vec<String> {
+fn exceeded_limits(record: &Record) -> Vec<String> {
     record
         .limited
         .iter()
-        .filter_map(|l| over(record, l))
+        .filter_map(|l| exceeded_limit(record, l))
         .collect()
 }
 
-/// The most requests of one span, where it is more than the limit allows.
-fn over(record: &Record, limited: &Limited) -> Option<String> {
+/// The most requests in one window, where they are more than the limit allows.
+fn exceeded_limit(record: &Record, limited: &Limited) -> Option<String> {
     let rate = limited.rate;
-    let allowed = 1.5 * rate * SPAN_MS as f64 / 1_000.0 + 5.0;
-    let most = limited_spans(record, limited).into_iter().max()?;
-    let told = format!("{most} requests in 4 s at {rate} a second, {allowed} allowed");
-    (most as f64 > allowed).then_some(told)
+    let allowed = 1.5 * rate * RATE_WINDOW_MS as f64 / 1_000.0 + 5.0;
+    let most = limit_window_counts(record, limited).into_iter().max()?;
+    let seen = format!("{most} requests in 4 s at {rate} a second, {allowed} allowed");
+    (most as f64 > allowed).then_some(seen)
 }
 
-/// Requests in each span in which routers had no fault since the limit was first named: one
-/// that has just started doesn't know it.
-pub fn limited_spans(record: &Record, limited: &Limited) -> Vec<usize> {
+/// Number of requests in each window that begins with a request, lies within the time of the limit
+/// and begins at least [`PROPAGATION_MS`] after its start. Left out are windows where a router had a
+/// fault between that start and the end of the window: a router that has just started doesn't know
+/// the limit.
+pub fn limit_window_counts(record: &Record, limited: &Limited) -> Vec<usize> {
     let arrivals = &limited.arrivals_ms;
-    let inside = arrivals.iter().copied().filter(|at| {
-        *at >= limited.span.from_ms + CONTACT_MS && *at + SPAN_MS <= limited.span.to_ms
+    let window_starts = arrivals.iter().copied().filter(|at| {
+        *at >= limited.span.from_ms + PROPAGATION_MS && *at + RATE_WINDOW_MS <= limited.span.to_ms
     });
-    let calm = |from: &u64| {
+    let is_undisturbed = |from: &u64| {
         let known = Span {
             from_ms: limited.span.from_ms,
-            to_ms: from + SPAN_MS,
+            to_ms: from + RATE_WINDOW_MS,
         };
-        !record.router_faults.iter().any(|(_, f)| f.meets(&known))
+        !record.router_faults.iter().any(|(_, f)| f.overlaps(&known))
     };
     let count = |from: u64| {
         let arrived = arrivals
             .iter()
-            .filter(|at| (from..from + SPAN_MS).contains(at));
+            .filter(|at| (from..from + RATE_WINDOW_MS).contains(at));
         arrived.count()
     };
-    inside.filter(calm).map(count).collect()
+    window_starts.filter(is_undisturbed).map(count).collect()
 }
 
-fn unbounded(record: &Record) -> Vec<String> {
-    let most = LOG_BYTES_S * record.seconds.max(1);
+fn excessive_usage(record: &Record) -> Vec<String> {
+    let max_log_bytes = MAX_LOG_BYTES_PER_S * record.seconds.max(1);
     let over = |f: &&super::ProcessFigures| {
-        f.memory_kb > MEMORY_KB || f.descriptors > DESCRIPTORS || f.log_bytes > most
+        f.memory_kb > MAX_MEMORY_KB
+            || f.descriptors > MAX_DESCRIPTORS
+            || f.log_bytes > max_log_bytes
     };
     let over = record.figures.iter().filter(over);
     over.map(|f| format!("{f:?}")).collect()
 }
 
-fn recovery(record: &Record) -> Vec<String> {
+fn missing_recovery(record: &Record) -> Vec<String> {
     let missing = record.recovered_ms.is_none();
-    Vec::from_iter(missing.then(|| "not within the time for it".to_string()))
+    Vec::from_iter(missing.then(|| "not within the time limit".to_string()))
 }
 
 fn describe(sample: &Sample) -> String {
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of real processes under faults that are drawn from a seed.
+//! Runs a fleet of real processes under random faults that are drawn from a seed.
 //!
-//! Faults come one after the other and on top of each other; callers keep their connections
-//! open until the process at the other end is gone. What callers, endpoints and the figures
-//! of the processes show is recorded, and [`judge`] says what of it must not be.
+//! Faults follow each other and overlap. Callers keep their connections open until the router
+//! closes them. The outcomes of requests, the runs at endpoints and the resource usage of the
+//! processes are recorded, and [`judge`] reports what violates a check.
 
 mod client;
 mod driver;
@@ -18,7 +18,7 @@
 
 pub use fault::Fault;
 pub use finding::Finding;
-pub use judge::{calm_stops, judge, limited_spans};
+pub use judge::{isolated_stops, judge, limit_window_counts};
 pub use outcome::{Outcome, Sample};
 pub use plan::{Plan, PlannedFault, SoakSettings};
 pub use record::{Limited, ProcessFigures, Record, Span};
--- a/testkit/src/soak/outcome.rs
+++ b/testkit/src/soak/outcome.rs
@@ -1,17 +1,17 @@
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Whole,
-    /// The caller was told that it has not run.
+    /// The answer reports that the request has not run.
     NotRun,
-    /// The caller was told that it is refused for good.
+    /// The answer refuses the request permanently.
     Refused,
-    /// Another answer came.
+    /// Another answer arrived.
     Failed,
-    /// The connection ended before the whole answer.
+    /// The connection ended before the complete answer.
     Closed,
-    /// The answer is not the one to this request.
+    /// The answer reports success but isn't the complete one to this request.
     Wrong,
 }
 
@@ -30,15 +30,15 @@
 /// One request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// Its id.
+    /// Attempt id.
     pub attempt: String,
-    /// Route that it went by.
+    /// Kind of request: its route, or `fatal`.
     pub kind: &'static str,
-    /// The router that it was sent to.
+    /// Index of the router that it was sent to.
     pub router: usize,
     /// Milliseconds from the beginning until it was sent.
     pub at_ms: u64,
-    /// Milliseconds until its end.
+    /// Milliseconds from then until it ended.
     pub took_ms: u64,
     /// How it ended.
     pub outcome: Outcome,
--- a/testkit/src/soak/plan.rs
+++ b/testkit/src/soak/plan.rs
@@ -3,27 +3,27 @@
 
 use super::Fault;
 
-/// Milliseconds before the first fault, and after the last one.
-const CALM_MS: u64 = 1_000;
+/// Time before the first fault, and least time from the begin of the last one to the end.
+const MARGIN_MS: u64 = 1_000;
 
-/// Longest milliseconds between two faults that come one after the other.
-const APART_MS: u64 = 2_000;
+/// Upper bound of the time between two faults that don't begin together.
+const MAX_GAP_MS: u64 = 2_000;
 
-/// Times in a hundred that a fault comes on top of the one before.
-const OVERLAPS: u32 = 40;
+/// Percentage of faults that begin at the same time as the one before.
+const TOGETHER_PERCENT: u32 = 40;
 
-/// What a soak is run with.
+/// Settings of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSettings {
-    /// Seed that faults and their times are drawn from.
+    /// Seed from which the faults and their times are drawn.
     pub seed: u64,
-    /// Seconds of faults.
+    /// Duration of the plan, in seconds.
     pub seconds: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Model engines; two endpoints of a plain service come beside.
+    /// Number of model engines; two endpoints of a plain service are added to them.
     pub engines: usize,
-    /// Folder for logs and the report.
+    /// Folder for the logs, the report and the plots.
     pub dir: PathBuf,
 }
 
@@ -56,16 +56,16 @@
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws a plan from the seed of the settings.
     pub fn draw(settings: &SoakSettings) -> Self {
         let mut rng = fastrand::Rng::with_seed(settings.seed);
         let mut faults = Vec::new();
-        let mut at_ms = CALM_MS;
-        while at_ms + CALM_MS < settings.seconds * 1_000 {
+        let mut at_ms = MARGIN_MS;
+        while at_ms + MARGIN_MS < settings.seconds * 1_000 {
             let fault = draw(&mut rng, settings.routers);
             faults.push(PlannedFault { at_ms, fault });
-            if rng.u32(0..100) >= OVERLAPS {
-                at_ms += rng.u64(200..APART_MS);
+            if rng.u32(0..100) >= TOGETHER_PERCENT {
+                at_ms += rng.u64(200..MAX_GAP_MS);
             }
         }
         Self { faults }
--- a/testkit/src/soak/record.rs
+++ b/testkit/src/soak/record.rs
@@ -5,68 +5,70 @@
 /// A span of time, in milliseconds from the beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// Its begin.
+    /// Beginning.
     pub from_ms: u64,
-    /// Its end.
+    /// End, inclusive.
     pub to_ms: u64,
 }
 
 impl Span {
     /// Whether two spans have a moment in common.
-    pub fn meets(&self, other: &Span) -> bool {
+    pub fn overlaps(&self, other: &Span) -> bool {
         self.from_ms <= other.to_ms && other.from_ms <= self.to_ms
     }
 }
 
-/// An endpoint that named a limit for a while.
+/// A time in which an endpoint named a rate limit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limited {
-    /// Requests a second that it named.
+    /// The limit, in requests a second.
     pub rate: f64,
-    /// When it did.
+    /// When it named the limit.
     pub span: Span,
-    /// When requests arrived there.
+    /// Times at which requests arrived there, in milliseconds from the beginning.
     pub arrivals_ms: Vec<u64>,
 }
 
-/// What one process was seen to use.
+/// Resource usage of one router's processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProcessFigures {
-    /// Most memory, in kilobytes.
+    /// Largest resident memory, in kilobytes.
     pub memory_kb: u64,
-    /// Most open descriptors.
+    /// Largest number of open descriptors.
     pub descriptors: u64,
-    /// Bytes of its log.
+    /// Size of its log, in bytes.
     pub log_bytes: u64,
 }
 
-/// What was seen in a soak.
+/// Record of a soak, for the checks and the report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// Requests of callers.
     pub samples: Vec<Sample>,
-    /// Runs at endpoints by attempt.
+    /// Number of runs at endpoints, by attempt id.
     pub ran: BTreeMap<String, u32>,
-    /// Runs of requests that may not be repeated.
+    /// Number of runs of requests that may not be repeated, by attempt id.
     pub once: BTreeMap<String, u32>,
-    /// What the stand-ins' audit of groups has found.
+    /// Violations that the stand-in's audit of groups has found.
     pub audit: Vec<String>,
-    /// When the fatal request began to run at endpoints.
+    /// Times at which runs of the fatal request began, in milliseconds from the beginning.
     pub fatal_ms: Vec<u64>,
-    /// Endpoints that named a limit.
+    /// Times in which endpoints named a rate limit.
     pub limited: Vec<Limited>,
-    /// Faults of routers, with the router.
+    /// Faults of routers, with the index of the router.
     pub router_faults: Vec<(usize, Span)>,
     /// Faults of endpoints.
     pub endpoint_faults: Vec<Span>,
-    /// Orderly stops, with the router.
+    /// Shutdowns that ended in time, with the index of the router.
     pub stops: Vec<(usize, Span)>,
-    /// Versions that routers told, in order, by router and life.
+    /// Routing versions that routers reported, in order, by index of the router and number of its
+    /// restarts.
     pub versions: BTreeMap<(usize, u32), Vec<u64>>,
-    /// What processes used.
+    /// Resource usage, by index of the router.
     pub figures: Vec<ProcessFigures>,
-    /// How long the recovery took after the last fault, where it was complete in time.
+    /// Milliseconds that the recovery took after the last fault; `None` where it wasn't complete in
+    /// time.
     pub recovered_ms: Option<u64>,
-    /// Seconds of faults.
+    /// Duration of the plan, in seconds.
     pub seconds: u64,
 }
--- a/testkit/src/soak/run.rs
+++ b/testkit/src/soak/run.rs
@@ -1,34 +1,33 @@
-//! Runs a soak from its beginning to its record.
+//! Runs a soak and makes its record.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use super::client::Connection;
-use super::driver::{lock, Driver, Slot};
+use super::driver::{lock, Driver, RouterSlot};
 use super::{Outcome, Plan, ProcessFigures, Record, SoakSettings};
 use crate::direct::{served, start_routers, Standin};
 use crate::Relay;
 
-/// Callers for each router.
-const CALLERS: usize = 4;
+const CALLERS_PER_ROUTER: usize = 4;
 
-/// What callers ask for, in turn.
+/// Kinds of requests, one for each caller in turn.
 const KINDS: [&str; 4] = ["stream", "once", "safe", "stream"];
 
 /// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(15);
+const CALLER_PAUSE: Duration = Duration::from_millis(15);
 
-/// Time between two looks at the figures of the processes.
-const FIGURES: Duration = Duration::from_millis(250);
+/// Time between two samples of the processes.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that the fleet has to recover in.
-const RECOVERY: Duration = Duration::from_secs(30);
+/// Time limit for the recovery of the fleet after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a soak; `progress` is told of each fault as it begins.
+/// Runs a soak; `progress` is called with a line of text as each fault begins.
 ///
 /// # Panics
-/// When the fleet can't be started.
+/// When the fleet can't be started, or a thread of the soak panics.
 pub fn soak(settings: &SoakSettings, plan: &Plan, progress: impl Fn(&str)) -> Record {
     std::fs::create_dir_all(&settings.dir).expect("a folder for logs");
     let standin = Standin::start(settings.engines, 2);
@@ -36,7 +35,12 @@
     let relays: Vec<Relay> = (0..settings.routers).map(relay).collect();
     let stores: Vec<_> = relays.iter().map(Relay::addr).collect();
     let routers = start_routers(&standin, &stores, &settings.dir);
-    let slot = |router| Mutex::new(Slot { router, life: 0 });
+    let slot = |router| {
+        Mutex::new(RouterSlot {
+            router,
+            restarts: 0,
+        })
+    };
     let driver = Arc::new(Driver {
         begin: Instant::now(),
         standin,
@@ -47,55 +51,59 @@
             ..Record::default()
         }),
         version: Mutex::new(1),
-        copy: Mutex::new(None),
+        backup: Mutex::new(None),
     });
     let stop = Arc::new(AtomicBool::new(false));
     let number = Arc::new(AtomicU64::new(0));
     let mut threads = Vec::new();
-    for n in 0..CALLERS * settings.routers {
+    for n in 0..CALLERS_PER_ROUTER * settings.routers {
         let (driver, stop, number) = (driver.clone(), stop.clone(), number.clone());
         threads.push(std::thread::spawn(move || {
-            caller(&driver, n, &stop, &number);
+            run_caller(&driver, n, &stop, &number);
         }));
     }
-    let (watched, watching) = (driver.clone(), stop.clone());
-    threads.push(std::thread::spawn(move || watch(&watched, &watching)));
-    faults(&driver, plan, progress);
-    let recovered = recover(&driver);
+    let (sampled, sampling) = (driver.clone(), stop.clone());
+    threads.push(std::thread::spawn(move || {
+        sample_processes(&sampled, &sampling)
+    }));
+    inject_faults(&driver, plan, progress);
+    let recovered = wait_recovery(&driver);
     stop.store(true, Ordering::Relaxed);
     for thread in threads {
         thread.join().expect("a thread of the soak");
     }
-    finish(&driver, settings, recovered)
+    complete_record(&driver, settings, recovered)
 }
 
-/// Carries out all faults, each in its time, and waits for their ends.
-fn faults(driver: &Arc<Driver>, plan: &Plan, progress: impl Fn(&str)) {
+/// Injects all faults, each at its time on a thread of its own, and waits until all are over. Makes a
+/// backup of the store before every fourth one.
+fn inject_faults(driver: &Arc<Driver>, plan: &Plan, progress: impl Fn(&str)) {
     let mut threads = Vec::new();
     for (n, planned) in plan.faults.iter().enumerate() {
         let at = Duration::from_millis(planned.at_ms);
         std::thread::sleep(at.saturating_sub(driver.begin.elapsed()));
         if n % 4 == 0 {
-            let copy = driver.standin.world().copy();
-            *lock(&driver.copy) = Some(copy);
+            let backup = driver.standin.world().copy();
+            *lock(&driver.backup) = Some(backup);
         }
         let samples = lock(&driver.record).samples.len();
         progress(&format!(
             "{:>6} ms  {}  ({samples} requests)",
-            driver.now(),
+            driver.now_ms(),
             planned.fault
         ));
         let (driver, fault) = (driver.clone(), planned.fault.clone());
-        threads.push(std::thread::spawn(move || driver.carry_out(n, &fault)));
+        threads.push(std::thread::spawn(move || driver.inject(n, &fault)));
     }
     for thread in threads {
         thread.join().expect("a fault");
     }
 }
 
-/// One caller: it keeps its connection until that ends, and then takes the next router that
-/// can be had, as behind a balancer. Every other one leaves when it is told to.
-fn caller(driver: &Driver, n: usize, stop: &AtomicBool, number: &AtomicU64) {
+/// Runs one caller. It keeps its connection until that is closed, and then connects to the next
+/// router that accepts one, as behind a load balancer. Every other caller also drops its connection
+/// after an answer with `Connection: close`.
+fn run_caller(driver: &Driver, n: usize, stop: &AtomicBool, number: &AtomicU64) {
     let mut router = n % driver.slots.len();
     let mut connection = None;
     while !stop.load(Ordering::Relaxed) {
@@ -103,61 +111,63 @@
             router = (router + 1) % driver.slots.len();
             let addr = lock(&driver.slots[router]).router.callers;
             connection = Connection::open(addr);
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CALLER_PAUSE);
             continue;
         };
         let kind = KINDS[n % KINDS.len()];
         let attempt = format!("{kind}{}", number.fetch_add(1, Ordering::Relaxed));
-        let outcome = driver.ask(open, router, kind, attempt, "");
-        let leaves = open.closes && n & 1 == 0;
-        if outcome == Outcome::Closed || leaves {
+        let outcome = driver.send_request(open, router, kind, attempt, "");
+        let must_leave = open.closes && n & 1 == 0;
+        if outcome == Outcome::Closed || must_leave {
             connection = None;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(CALLER_PAUSE);
     }
 }
 
-/// Looks at the processes while they run.
-fn watch(driver: &Driver, stop: &AtomicBool) {
-    let mut figures = vec![ProcessFigures::default(); driver.slots.len()];
+/// Samples the resource usage and the routing versions of the routers until `stop` is set.
+fn sample_processes(driver: &Driver, stop: &AtomicBool) {
+    let mut usages = vec![ProcessFigures::default(); driver.slots.len()];
     while !stop.load(Ordering::Relaxed) {
-        for (at, most) in figures.iter_mut().enumerate() {
-            let (ready, pid, life) = {
+        for (at, usage) in usages.iter_mut().enumerate() {
+            let (ready, pid, restarts) = {
                 let slot = lock(&driver.slots[at]);
-                (slot.router.ready, slot.router.child.id(), slot.life)
+                (slot.router.ready, slot.router.child.id(), slot.restarts)
             };
-            look(most, pid);
+            sample_usage(usage, pid);
             let version = crate::direct::routing_version_at(ready);
-            if lock(&driver.slots[at]).life == life {
+            if lock(&driver.slots[at]).restarts == restarts {
                 let mut record = lock(&driver.record);
-                let told = record.versions.entry((at, life)).or_default();
-                told.extend(version);
+                let versions = record.versions.entry((at, restarts)).or_default();
+                versions.extend(version);
             }
         }
-        std::thread::sleep(FIGURES);
+        std::thread::sleep(SAMPLE_INTERVAL);
     }
-    lock(&driver.record).figures = figures;
+    lock(&driver.record).figures = usages;
 }
 
-/// Memory and descriptors of a process; one that has ended uses none.
-fn look(most: &mut ProcessFigures, pid: u32) {
+/// Raises the maxima to the present memory and descriptors of a process; one that has ended uses
+/// none.
+fn sample_usage(usage: &mut ProcessFigures, pid: u32) {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let memory = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok());
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
-    most.memory_kb = most.memory_kb.max(memory.unwrap_or(0));
-    most.descriptors = most.descriptors.max(descriptors as u64);
+    usage.memory_kb = usage.memory_kb.max(memory.unwrap_or(0));
+    usage.descriptors = usage.descriptors.max(descriptors as u64);
 }
 
-/// Waits until all routers serve by the newest configuration; how long that took.
-fn recover(driver: &Driver) -> Option<u64> {
+/// Waits until all routers have the newest configuration in force and serve streams; returns the
+/// milliseconds that it took, or `None` where it took longer than [`RECOVERY_TIMEOUT`].
+fn wait_recovery(driver: &Driver) -> Option<u64> {
     let since = Instant::now();
     let serves = |n: usize| {
         let slot = lock(&driver.slots[n]);
         let newest = slot.router.routing() == Some(*lock(&driver.version));
         newest && served(&slot.router, &format!("after-{n}"))
     };
-    while since.elapsed() < RECOVERY {
+    while since.elapsed() < RECOVERY_TIMEOUT {
         if (0..driver.slots.len()).all(serves) {
             return Some(since.elapsed().as_millis() as u64);
         }
@@ -166,7 +176,8 @@
     None
 }
 
-fn finish(driver: &Driver, settings: &SoakSettings, recovered_ms: Option<u64>) -> Record {
+/// Adds the recovery, the sizes of the logs and what the stand-in has recorded to the record.
+fn complete_record(driver: &Driver, settings: &SoakSettings, recovered_ms: Option<u64>) -> Record {
     let mut record = std::mem::take(&mut *lock(&driver.record));
     record.recovered_ms = recovered_ms;
     for (n, figures) in record.figures.iter_mut().enumerate() {
--- a/tests/direct/soak_checks.rs
+++ b/tests/direct/soak_checks.rs
@@ -1,4 +1,4 @@
-//! Each check of the soak catches what it is there for.
+//! Each check of the soak reports the violation that it is meant to find.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
     judge, Limited, Outcome, Plan, ProcessFigures, Record, Sample, SoakSettings, Span,
 };
 
-/// A record in which everything holds.
-fn sound() -> Record {
+/// A record without violations.
+fn sound_record() -> Record {
     let sample = |n: u64, outcome| Sample {
         attempt: format!("stream{n}"),
         kind: "stream",
@@ -33,16 +33,16 @@
     Span { from_ms, to_ms }
 }
 
-/// Findings of a record that differs from a sound one.
-fn found(change: impl FnOnce(&mut Record)) -> Vec<&'static str> {
-    let mut record = sound();
+/// Names of the checks that a change to a sound record makes fail.
+fn failed_checks(change: impl FnOnce(&mut Record)) -> Vec<&'static str> {
+    let mut record = sound_record();
     change(&mut record);
     judge(&record).iter().map(|f| f.check).collect()
 }
 
 #[test]
 fn a_sound_record_has_no_findings() {
-    assert_eq!(found(|_| {}), Vec::<&str>::new());
+    assert_eq!(failed_checks(|_| {}), Vec::<&str>::new());
 }
 
 #[test]
@@ -117,22 +117,23 @@
         ("the fleet recovers", Box::new(|r| r.recovered_ms = None)),
     ];
     for (check, change) in cases {
-        assert_eq!(found(change), [check]);
+        assert_eq!(failed_checks(change), [check]);
     }
 }
 
-/// What another fault explains is no finding.
+/// A closed connection or too many requests aren't reported where another fault explains them: one
+/// of an endpoint shortly before the shutdown, or one of a router after the limit was named.
 #[test]
 fn faults_at_the_same_time_excuse_a_stop_and_a_limit() {
     let stop = span(120, 400);
-    let cut = found(|r| {
+    let cut = failed_checks(|r| {
         r.samples[0].outcome = Outcome::Closed;
         r.stops.push((0, stop));
         r.router_faults.push((0, stop));
         r.endpoint_faults.push(span(100, 110));
     });
     assert!(cut.is_empty(), "{cut:?}");
-    let over = found(|r| {
+    let over = failed_checks(|r| {
         r.limited.push(Limited {
             rate: 1.0,
             span: span(0, 12_000),
