--- a/testkit/src/bin/soak.rs
+++ b/testkit/src/bin/soak.rs
@@ -1,5 +1,5 @@
-//! Runs faults that are drawn from a seed against a fleet of real processes, and checks what
-//! callers, endpoints and the resource usage of the processes show.
+//! Injects faults, drawn from a seed, into a fleet of real processes, and checks the outcomes of
+//! requests, the runs at endpoints and the resource usage of the processes.
 //!
 //! ```text
 //! cargo build && cargo run -p testkit --bin soak -- --seed 7 --minutes 1 --routers 5 --engines 12
--- a/testkit/src/engine.rs
+++ b/testkit/src/engine.rs
@@ -71,7 +71,7 @@
     runs: Vec<EngineRun>,
 }
 
-/// A stand-in for a model engine.
+/// A stand-in of a model engine.
 #[derive(Clone)]
 pub struct Engine {
     name: String,
@@ -112,8 +112,8 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Engines that the group with this fence lacks: names of those that are down, and `unloaded` for
-    /// each one that isn't loaded.
+    /// Engines that the group with this fence lacks: names of those that are down, and `unloaded`
+    /// for each one that isn't loaded.
     fn missing(&self, fence: u64) -> Vec<String> {
         let state = self.lock();
         let members = state.loaded.iter().filter(|(_, (f, _))| *f == fence);
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Whether a fence is accepted. Where the engine is fenced, it accepts none that is lower than the
-    /// highest one accepted before.
+    /// Whether a fence is accepted. Where the engine is fenced, it accepts none that is lower than
+    /// the highest one accepted before.
     fn accept_fence(&self, fence: u64) -> bool {
         let mut state = self.lock();
         if state.params.fenced && fence < state.fence {
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -352,8 +352,8 @@
         post(self.callers(router), &call.to_call())
     }
 
-    /// Instance ids of the members of the first group of model `desk` that a router reports, its leader
-    /// first.
+    /// Instance ids of the members of the first group of model `desk` that a router reports, its
+    /// leader first.
     pub fn members(&self, router: &str) -> Vec<String> {
         let groups = self.status(router)["groups"]
             .as_array()
--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -261,7 +261,8 @@
         }
         loop {
             let Some((events, revision)) = self.wait_changes(&from, &to, next) else {
-                // The HTTP server keeps the connection open. Bytes that aren't a chunk abort the watch.
+                // The HTTP server keeps the connection open. Bytes that aren't a chunk abort the
+                // watch.
                 let _ = writer.write_all(b"broken\r\n");
                 let _ = writer.flush();
                 return;
@@ -443,7 +444,7 @@
     }
 }
 
-/// First key of a range and the key after its last one; the second is empty for a single key.
+/// First key of a range and its end, which is exclusive; the end is empty for a single key.
 fn key_range(body: &Value) -> (String, String) {
     (decode_text(&body["key"]), decode_text(&body["range_end"]))
 }
--- a/testkit/src/soak/client.rs
+++ b/testkit/src/soak/client.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Reads an answer; `None` where the connection ends before the answer does, or the answer isn't
-    /// valid.
+    /// Reads an answer; `None` where the connection ends before the answer does, or the answer
+    /// isn't valid.
     fn read_answer(&mut self) -> Option<Answer> {
         let status = self.read_line()?.split(' ').nth(1)?.parse().ok()?;
         let (mut length, mut chunked) = (0, false);
--- a/testkit/src/soak/driver.rs
+++ b/testkit/src/soak/driver.rs
@@ -1,4 +1,4 @@
-//! Injects faults into the fleet; each one is called on a thread of its own.
+//! Injects faults into the fleet; the caller runs each one on a thread of its own.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/judge.rs
@@ -170,7 +170,7 @@
 }
 
 /// Number of requests in each window that begins with a request, lies within the time of the limit
-/// and begins at least [`PROPAGATION_MS`] after its start. Left out are windows where a router had a
+/// and begins at least `PROPAGATION_MS` after its start. Left out are windows where a router had a
 /// fault between that start and the end of the window: a router that has just started doesn't know
 /// the limit.
 pub fn limit_window_counts(record: &Record, limited: &Limited) -> Vec<usize> {
--- a/testkit/src/soak/plan.rs
+++ b/testkit/src/soak/plan.rs
@@ -3,7 +3,8 @@
 
 use super::Fault;
 
-/// Time before the first fault, and least time from the begin of the last one to the end.
+/// Time before the first fault, and least time between the beginning of the last one and the end of
+/// the plan.
 const MARGIN_MS: u64 = 1_000;
 
 /// Upper bound of the time between two faults that don't begin together.
--- a/testkit/src/soak/run.rs
+++ b/testkit/src/soak/run.rs
@@ -75,8 +75,8 @@
     complete_record(&driver, settings, recovered)
 }
 
-/// Injects all faults, each at its time on a thread of its own, and waits until all are over. Makes a
-/// backup of the store before every fourth one.
+/// Injects all faults, each at its time on a thread of its own, and waits until all are over. Makes
+/// a backup of the store before every fourth one.
 fn inject_faults(driver: &Arc<Driver>, plan: &Plan, progress: impl Fn(&str)) {
     let mut threads = Vec::new();
     for (n, planned) in plan.faults.iter().enumerate() {
--- a/testkit/standin/fleet.rs
+++ b/testkit/standin/fleet.rs
@@ -37,7 +37,7 @@
 /// group is open, all routers are ready and the first one serves a stream.
 ///
 /// # Panics
-/// When one of these doesn't happen within [`STARTUP_TIMEOUT`].
+/// When one of these doesn't happen within `STARTUP_TIMEOUT`.
 pub fn start_routers(standin: &Standin, stores: &[SocketAddr], dir: &Path) -> Vec<Router> {
     let start = |(n, store): (usize, &SocketAddr)| {
         let id = format!("r{}", n + 1);
--- a/testkit/standin/world.rs
+++ b/testkit/standin/world.rs
@@ -43,7 +43,7 @@
 }
 
 impl World {
-    /// Puts a configuration in force.
+    /// Writes the configuration document.
     pub fn configure(&mut self, text: &str) {
         self.put("op/config", text);
     }
@@ -195,7 +195,8 @@
         })
     }
 
-    /// Checks and audits an order, passes it on to its replica and returns the status of the answer.
+    /// Checks and audits an order, passes it on to its replica and returns the status of the
+    /// answer.
     pub(super) fn on_order(&mut self, id: &str, body: &Value) -> StatusCode {
         let text = |name: &str| body[name].as_str().unwrap_or("").to_string();
         let (operation, group, epoch) = (
@@ -217,8 +218,8 @@
         replica.on_order(&operation, group, epoch, body)
     }
 
-    /// Audits rule TWO: a member doesn't join another group while the head of its own is open, unless
-    /// that head has been stalled for [`STALL_TIMEOUT`] or longer.
+    /// Audits rule TWO: a member doesn't join another group while the head of its own is open,
+    /// unless that head has been stalled for [`STALL_TIMEOUT`] or longer.
     pub(super) fn audit_join(&mut self, id: &str, group: &str) {
         let Some(seat) = self.replicas.get(id).and_then(|r| r.seat.clone()) else {
             return;
