--- a/benches/policy/load.rs
+++ b/benches/policy/load.rs
@@ -1,26 +1,27 @@
-//! Arrivals of the minute: classes, accounts, lengths.
+//! Requests of the simulated minute with their classes, accounts and answer lengths.
 
 use std::sync::Arc;
 
 use runrail::types::{AccountSpec, BundleBody, ClassSpec, ModelKind, ModelSpec};
 
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{Disturbance, Scenario};
 
-/// Groups and the slots of each.
+/// Groups of one member each, and the requests that each of them runs at once.
 pub const GROUPS: u64 = 30;
-pub const SLOTS: u64 = 8;
-/// Length of the minute in milliseconds.
-pub const MINUTE: u64 = 60_000;
-/// Time to the first piece and between pieces, in milliseconds.
-pub const PREFILL: u64 = 60;
-pub const PIECE: u64 = 40;
+pub const SLOTS_PER_GROUP: u64 = 8;
+/// Length of the minute in which requests arrive.
+pub const ARRIVAL_MS: u64 = 60_000;
+/// Time to the first piece of an answer, and between two pieces.
+pub const FIRST_PIECE_MS: u64 = 60;
+pub const PIECE_INTERVAL_MS: u64 = 40;
+/// Mean number of pieces of an answer, by class.
 const URGENT_PIECES: u64 = 5;
-const DRAFT_PIECES: u64 = 60;
-/// Of ten requests so many are urgent.
-const URGENT_OF_TEN: u64 = 7;
+const DRAFTING_PIECES: u64 = 60;
+/// Share of urgent requests, in tenths.
+const URGENT_TENTHS: u64 = 7;
 
 pub struct Arrival {
-    pub at: u64,
+    pub at_ms: u64,
     pub router: usize,
     pub urgent: bool,
     pub account: &'static str,
@@ -29,39 +30,44 @@
 
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mean = (URGENT_OF_TEN * (PREFILL + URGENT_PIECES * PIECE)
-        + (10 - URGENT_OF_TEN) * (PREFILL + DRAFT_PIECES * PIECE))
+    let mean_run_ms = (URGENT_TENTHS * (FIRST_PIECE_MS + URGENT_PIECES * PIECE_INTERVAL_MS)
+        + (10 - URGENT_TENTHS) * (FIRST_PIECE_MS + DRAFTING_PIECES * PIECE_INTERVAL_MS))
         / 10;
-    let capacity = GROUPS * SLOTS * MINUTE / mean;
-    let count = capacity * scenario.load / 10;
-    let mut all: Vec<_> = (0..count)
+    let capacity = GROUPS * SLOTS_PER_GROUP * ARRIVAL_MS / mean_run_ms;
+    let count = capacity * scenario.load_tenths / 10;
+    let mut arrivals: Vec<_> = (0..count)
         .map(|_| {
-            let urgent = rng.u64(0..10) < URGENT_OF_TEN;
-            let base = if urgent { URGENT_PIECES } else { DRAFT_PIECES };
-            let greedy = scenario.trouble == Trouble::Greedy && rng.u64(0..11) > 0;
+            let urgent = rng.u64(0..10) < URGENT_TENTHS;
+            let mean_pieces = if urgent {
+                URGENT_PIECES
+            } else {
+                DRAFTING_PIECES
+            };
+            let from_large = scenario.disturbance == Disturbance::Greedy && rng.u64(0..11) > 0;
             Arrival {
-                // All branches open at once: half of the load comes in the first quarter.
-                at: if rng.bool() {
-                    rng.u64(0..MINUTE / 4)
+                // Half of the requests arrive in the first quarter of the minute, as when all
+                // branches open at once; the other half at any time of it.
+                at_ms: if rng.bool() {
+                    rng.u64(0..ARRIVAL_MS / 4)
                 } else {
-                    rng.u64(0..MINUTE)
+                    rng.u64(0..ARRIVAL_MS)
                 },
                 router: rng.usize(0..3),
                 urgent,
-                account: if greedy {
+                account: if from_large {
                     "large"
                 } else {
                     ["a", "b", "c"][rng.usize(0..3)]
                 },
-                pieces: base / 2 + rng.u64(0..=base),
+                pieces: mean_pieces / 2 + rng.u64(0..=mean_pieces),
             }
         })
         .collect();
-    all.sort_by_key(|a| a.at);
-    all
+    arrivals.sort_by_key(|a| a.at_ms);
+    arrivals
 }
 
-pub fn body() -> BundleBody {
+pub fn bundle_body() -> BundleBody {
     let class = |name: &str, priority, reserved, preempt, deadline_ms| ClassSpec {
         name: Arc::from(name),
         priority,
--- a/benches/policy/repair.rs
+++ b/benches/policy/repair.rs
@@ -1,7 +1,7 @@
-//! Repair by the operators' measure, beside repair by spares alone.
+//! Compares repair by the operators' weights with repair from spares alone.
 //!
-//! The real plan function repairs two fabric domains over a simulated day of
-//! failures; a group is up while all its members are and have loaded.
+//! The planner's `plan` function repairs one fabric domain over a simulated day of
+//! failures. A group is up while all its members are live and its load time has passed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,33 +13,38 @@
     ModelSpec,
 };
 
-/// Seconds of one run.
-const DAY: u64 = 86_400;
-/// Mean seconds between two failures in the domain, and until a replacement comes.
-const FAIL_EVERY: u64 = 1_200;
-const REPLACED_AFTER: u64 = 2_400;
-/// Seconds to load the weights.
-const LOAD: u64 = 90;
+/// Simulated time of one run.
+const DAY_S: u64 = 86_400;
+/// Mean time between two failures in the domain, and time until a failed instance is back.
+const FAILURE_INTERVAL_S: u64 = 1_200;
+const REPLACEMENT_S: u64 = 2_400;
+/// Time in which a group loads its model.
+const LOAD_S: u64 = 90;
 const INSTANCES: usize = 14;
 
+/// Costs of one run, without the operators' weights.
 struct Cost {
-    /// Group-seconds of downtime, weighted by the groups' values.
+    /// Seconds in which a model has no group that is up, weighted by the models' values.
     downtime: u64,
-    /// Instance-seconds of healthy instances outside working groups.
+    /// Instance-seconds of live instances outside groups that are up.
     stranded: u64,
 }
 
 pub fn run() {
-    println!("| weights (downtime : stranded) | repair | weighted downtime | stranded instance-seconds | cost by the measure |");
+    println!("| weights (downtime : stranded) | repair | weighted downtime | stranded instance-seconds | weighted cost |");
     println!("|---|---|---|---|---|");
     for (downtime, stranded) in [(100, 1), (1, 10)] {
         for (name, trade) in [("runrail", true), ("spares only", false)] {
             let measure = Measure { downtime, stranded };
-            let costs: Vec<_> = (1..=5).map(|seed| day(measure, trade, seed)).collect();
-            let down = costs.iter().map(|c| c.downtime).sum::<u64>() / 5;
-            let idle = costs.iter().map(|c| c.stranded).sum::<u64>() / 5;
-            let cost = down * u64::from(downtime) + idle * u64::from(stranded);
-            println!("| {downtime} : {stranded} | {name} | {down} | {idle} | {cost} |");
+            let costs: Vec<_> = (1..=5)
+                .map(|seed| simulate_day(measure, trade, seed))
+                .collect();
+            let mean_downtime = costs.iter().map(|c| c.downtime).sum::<u64>() / 5;
+            let mean_stranded = costs.iter().map(|c| c.stranded).sum::<u64>() / 5;
+            let cost = mean_downtime * u64::from(downtime) + mean_stranded * u64::from(stranded);
+            println!(
+                "| {downtime} : {stranded} | {name} | {mean_downtime} | {mean_stranded} | {cost} |"
+            );
         }
     }
 }
@@ -55,7 +60,7 @@
         per_hall: 1,
         floor: 0,
         value,
-        load_ms: LOAD * 1_000,
+        load_ms: LOAD_S * 1_000,
     }
 }
 
@@ -79,36 +84,38 @@
     }
 }
 
-fn day(measure: Measure, trade: bool, seed: u64) -> Cost {
+fn simulate_day(measure: Measure, trade: bool, seed: u64) -> Cost {
     let mut rng = fastrand::Rng::with_seed(seed);
     let body = body(measure);
     let instances: Vec<_> = (0..INSTANCES).map(instance).collect();
     let mut back_at = [0; INSTANCES];
     let mut record = DomainRecord::empty("d", "h");
-    let mut ready: BTreeMap<(GroupId, u64), u64> = BTreeMap::new();
+    let mut ready_at: BTreeMap<(GroupId, u64), u64> = BTreeMap::new();
     let mut cost = Cost {
         downtime: 0,
         stranded: 0,
     };
-    for now in 0..DAY {
-        if rng.u64(0..FAIL_EVERY) == 0 {
-            back_at[rng.usize(0..INSTANCES)] = now + REPLACED_AFTER;
+    for now in 0..DAY_S {
+        if rng.u64(0..FAILURE_INTERVAL_S) == 0 {
+            back_at[rng.usize(0..INSTANCES)] = now + REPLACEMENT_S;
         }
-        let live = |id: &InstanceId| {
-            let i: usize = id.as_str()[1..].parse().expect("a number");
+        let is_live = |id: &InstanceId| {
+            let i: usize = id.as_str()[1..]
+                .parse()
+                .expect("an instance id ends in its number");
             back_at[i] <= now
         };
-        let up = |g: &runrail::types::GroupRecord, ready: &BTreeMap<(GroupId, u64), u64>| {
+        let is_up = |g: &runrail::types::GroupRecord, ready: &BTreeMap<(GroupId, u64), u64>| {
             let loaded = ready
                 .get(&(g.id.clone(), g.epoch))
                 .is_some_and(|at| *at <= now);
-            loaded && g.members.iter().all(|m| live(&m.instance))
+            loaded && g.members.iter().all(|m| is_live(&m.instance))
         };
         let conditions: BTreeMap<_, _> = record
             .groups
             .iter()
             .map(|g| {
-                let condition = if up(g, &ready) {
+                let condition = if is_up(g, &ready_at) {
                     Condition::Open
                 } else {
                     Condition::Closed
@@ -120,13 +127,13 @@
         for g in &record.groups {
             hall.entry(g.model.clone()).or_default().current += 1;
         }
-        let listed: Vec<_> = instances.iter().filter(|i| live(&i.id)).collect();
+        let listed: Vec<_> = instances.iter().filter(|i| is_live(&i.id)).collect();
         let health = instances
             .iter()
             .map(|i| {
                 (
                     i.id.clone(),
-                    if live(&i.id) {
+                    if is_live(&i.id) {
                         Health::Live
                     } else {
                         Health::Gone
@@ -134,7 +141,7 @@
                 )
             })
             .collect();
-        let next = plan(&PlanInput {
+        let new_plan = plan(&PlanInput {
             body: &body,
             record: &record,
             instances: listed,
@@ -145,20 +152,26 @@
             patience_ms: 30_000,
             trade,
         });
-        if let Some(next) = next {
-            record = next.record;
+        if let Some(new_plan) = new_plan {
+            record = new_plan.record;
         }
         for g in &record.groups {
-            ready.entry((g.id.clone(), g.epoch)).or_insert(now + LOAD);
+            ready_at
+                .entry((g.id.clone(), g.epoch))
+                .or_insert(now + LOAD_S);
         }
-        let working: Vec<_> = record.groups.iter().filter(|g| up(g, &ready)).collect();
+        let working: Vec<_> = record
+            .groups
+            .iter()
+            .filter(|g| is_up(g, &ready_at))
+            .collect();
         for spec in &body.models {
-            let serves = working.iter().any(|g| g.model == spec.name);
-            cost.downtime += if serves { 0 } else { u64::from(spec.value) };
+            let is_served = working.iter().any(|g| g.model == spec.name);
+            cost.downtime += if is_served { 0 } else { u64::from(spec.value) };
         }
-        let used: usize = working.iter().map(|g| g.members.len()).sum();
-        let healthy = instances.iter().filter(|i| live(&i.id)).count();
-        cost.stranded += (healthy - used) as u64;
+        let working_members: usize = working.iter().map(|g| g.members.len()).sum();
+        let live_count = instances.iter().filter(|i| is_live(&i.id)).count();
+        cost.stranded += (live_count - working_members) as u64;
     }
     cost
 }
--- a/benches/policy/report.rs
+++ b/benches/policy/report.rs
@@ -1,82 +1,84 @@
-//! Rows of the table.
+//! Prints the load table.
 
 use crate::scenario::Scenario;
-use crate::world::{Outcomes, World};
+use crate::world::{Outcomes, Simulation};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-pub fn head() {
+pub fn print_header() {
     println!(
-        "| scenario | policy | answered % | urgent answered % | small accounts answered % | urgent first piece p50/p95/p99 ms | drafting p50/p95 ms | refused with hint % | unknown | wrong | service calls/s | control B/s a node |"
+        "| scenario | policy | answered % | urgent answered % | small accounts answered % | urgent first piece p50/p95/p99 ms | drafting p50/p95 ms | refused with retry time % | unknown or failed | wrong | store calls/s | control B/s per node |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
 }
 
-pub fn row(scenario: &Scenario) {
+pub fn print_row(scenario: &Scenario) {
     let threads: Vec<_> = SEEDS
         .iter()
         .map(|seed| {
             let (scenario, seed) = (*scenario, *seed);
-            std::thread::spawn(move || World::new(scenario, seed).run())
+            std::thread::spawn(move || Simulation::new(scenario, seed).run())
         })
         .collect();
     let runs: Vec<_> = threads
         .into_iter()
-        .map(|t| t.join().expect("a run"))
+        .map(|t| t.join().expect("a simulation thread panicked"))
         .collect();
-    let part = |a: fn(&Outcomes) -> u64, b: fn(&Outcomes) -> u64| {
-        spread(&runs, |o| a(o) * 1_000 / b(o).max(1), true)
+    let percent = |part: fn(&Outcomes) -> u64, total: fn(&Outcomes) -> u64| {
+        median_range(&runs, |o| part(o) * 1_000 / total(o).max(1), true)
     };
-    let quantile = |values: fn(&Outcomes) -> &Vec<u64>, q: usize| {
-        spread(&runs, |o| percentile(values(o), q), false)
+    let latency = |values: fn(&Outcomes) -> &Vec<u64>, rank: usize| {
+        median_range(&runs, |o| percentile(values(o), rank), false)
     };
     let sum = |value: fn(&Outcomes) -> u64| runs.iter().map(value).sum::<u64>();
+    // A run lasts 90 s and has 33 nodes: 3 routers and 30 agents.
     println!(
         "| {} | {} | {} | {} | {} | {} / {} / {} | {} / {} | {} | {} | {} | {} | {} |",
         scenario.name,
         scenario.policy.name,
-        part(|o| o.answered, |o| o.sent),
-        part(|o| o.urgent_answered, |o| o.urgent_sent),
-        part(|o| o.small_answered, |o| o.small_sent),
-        quantile(|o| &o.urgent_first, 50),
-        quantile(|o| &o.urgent_first, 95),
-        quantile(|o| &o.urgent_first, 99),
-        quantile(|o| &o.draft_first, 50),
-        quantile(|o| &o.draft_first, 95),
-        part(|o| o.hinted, |o| o.sent),
-        sum(|o| o.unknown),
+        percent(|o| o.answered, |o| o.sent),
+        percent(|o| o.urgent_answered, |o| o.urgent_sent),
+        percent(|o| o.small_answered, |o| o.small_sent),
+        latency(|o| &o.urgent_first, 50),
+        latency(|o| &o.urgent_first, 95),
+        latency(|o| &o.urgent_first, 99),
+        latency(|o| &o.drafting_first, 50),
+        latency(|o| &o.drafting_first, 95),
+        percent(|o| o.retry_hinted, |o| o.sent),
+        sum(|o| o.other_failures),
         sum(|o| o.wrong),
-        spread(&runs, |o| o.store_calls / 90, false),
-        spread(&runs, |o| o.control_bytes / 90 / 33, false),
+        median_range(&runs, |o| o.store_calls / 90, false),
+        median_range(&runs, |o| o.control_bytes / 90 / 33, false),
     );
 }
 
-fn percentile(values: &[u64], q: usize) -> u64 {
+fn percentile(values: &[u64], rank: usize) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let at = (sorted.len() * q / 100).min(sorted.len().saturating_sub(1));
-    sorted.get(at).copied().unwrap_or(0)
+    let index = (sorted.len() * rank / 100).min(sorted.len().saturating_sub(1));
+    sorted.get(index).copied().unwrap_or(0)
 }
 
-/// Median of the seeds, with the lowest and the highest where they differ.
-fn spread(runs: &[Outcomes], value: impl Fn(&Outcomes) -> u64, tenths: bool) -> String {
+/// Formats the median of the runs, with the lowest and the highest where they differ. With
+/// `tenths` the values are in tenths and get one decimal.
+fn median_range(runs: &[Outcomes], value: impl Fn(&Outcomes) -> u64, tenths: bool) -> String {
     let mut values: Vec<_> = runs.iter().map(value).collect();
     values.sort_unstable();
-    let show = |v: u64| {
+    let format_value = |v: u64| {
         if tenths {
             format!("{}.{}", v / 10, v % 10)
         } else {
             v.to_string()
         }
     };
-    let middle = values[values.len() / 2];
+    let median = values[values.len() / 2];
     if values[0] == values[values.len() - 1] {
-        return show(middle);
+        return format_value(median);
     }
     format!(
         "{} ({}-{})",
-        show(middle),
-        show(values[0]),
-        show(values[values.len() - 1])
+        format_value(median),
+        format_value(values[0]),
+        format_value(values[values.len() - 1])
     )
 }
--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -1,31 +1,32 @@
 use runrail::logic::router::RoutePolicy;
 
-/// What goes wrong at second 20 of the minute.
+/// Disturbance of a scenario: for a whole run, or from 20 s after the start of the minute
+/// of arrivals where the variant says so.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Disturbance {
     Nothing,
-    /// A tenth of the groups lose a member for good.
+    /// A tenth of the groups lose their only member for good, from 20 s on.
     Loss,
-    /// A tenth of the groups are told to stop.
+    /// The agents of a tenth of the groups are asked to stop at 20 s.
     Drain,
-    /// The key-value service is down until the end.
+    /// The key-value store is unavailable from 20 s until the end.
     Outage,
-    /// One group runs five times slower from the start.
+    /// One group takes five times as long for each piece of an answer.
     Slow,
-    /// One account sends ten times the load of all others together.
+    /// One account sends ten times as many requests as all others together.
     Greedy,
 }
 
-/// How decisions are made.
+/// Policy that a row of the table is for: runrail's own, or a baseline.
 #[derive(Clone, Copy)]
 pub struct Policy {
     pub name: &'static str,
     pub route: RoutePolicy,
-    /// Classes, reserved slots, pausing and shares.
+    /// Whether agents schedule by class: priorities, reserved slots, preemption, fair shares.
     pub by_class: bool,
 }
 
-const OURS: Policy = Policy {
+const RUNRAIL: Policy = Policy {
     name: "runrail",
     route: RoutePolicy::LeastWait,
     by_class: true,
@@ -33,62 +34,72 @@
 const RANDOM: Policy = Policy {
     name: "random routing",
     route: RoutePolicy::Random,
-    ..OURS
+    ..RUNRAIL
 };
 const ROUND_ROBIN: Policy = Policy {
     name: "round robin",
     route: RoutePolicy::RoundRobin,
-    ..OURS
+    ..RUNRAIL
 };
-const ONE_QUEUE: Policy = Policy {
+const NO_CLASSES: Policy = Policy {
     name: "no classes",
     by_class: false,
-    ..OURS
+    ..RUNRAIL
 };
 
 /// One row of the table.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub name: &'static str,
-    /// Load in tenths of the capacity.
-    pub load: u64,
-    pub trouble: Trouble,
+    /// Offered load in tenths of the capacity.
+    pub load_tenths: u64,
+    pub disturbance: Disturbance,
     pub policy: Policy,
 }
 
 impl Scenario {
     pub fn all() -> Vec<Scenario> {
-        let mut all = Vec::new();
-        let mut add = |name, load, trouble, policies: &[Policy]| {
+        let mut scenarios = Vec::new();
+        let mut add = |name, load_tenths, disturbance, policies: &[Policy]| {
             for policy in policies {
-                all.push(Scenario {
+                scenarios.push(Scenario {
                     name,
-                    load,
-                    trouble,
+                    load_tenths,
+                    disturbance,
                     policy: *policy,
                 });
             }
         };
-        let each = [OURS, RANDOM, ROUND_ROBIN, ONE_QUEUE];
-        add("payday 0.8x", 8, Trouble::Nothing, &each);
-        add("payday 1x", 10, Trouble::Nothing, &each);
+        let all_policies = [RUNRAIL, RANDOM, ROUND_ROBIN, NO_CLASSES];
+        add("payday 0.8x", 8, Disturbance::Nothing, &all_policies);
+        add("payday 1x", 10, Disturbance::Nothing, &all_policies);
         add(
             "payday 3x",
             30,
-            Trouble::Nothing,
-            &[OURS, RANDOM, ONE_QUEUE],
+            Disturbance::Nothing,
+            &[RUNRAIL, RANDOM, NO_CLASSES],
         );
-        add("payday 10x", 100, Trouble::Nothing, &[OURS, ONE_QUEUE]);
-        add("member loss 0.8x", 8, Trouble::Loss, &[OURS, RANDOM]);
-        add("drain 0.8x", 8, Trouble::Drain, &[OURS, RANDOM]);
-        add("outage 0.8x", 8, Trouble::Outage, &[OURS]);
+        add(
+            "payday 10x",
+            100,
+            Disturbance::Nothing,
+            &[RUNRAIL, NO_CLASSES],
+        );
+        add("member loss 0.8x", 8, Disturbance::Loss, &[RUNRAIL, RANDOM]);
+        add("drain 0.8x", 8, Disturbance::Drain, &[RUNRAIL, RANDOM]);
+        add("outage 0.8x", 8, Disturbance::Outage, &[RUNRAIL]);
         add(
             "slow group 0.8x",
             8,
-            Trouble::Slow,
-            &[OURS, RANDOM, ROUND_ROBIN],
+            Disturbance::Slow,
+            &[RUNRAIL, RANDOM, ROUND_ROBIN],
+        );
+        add(
+            "greedy account 3x",
+            30,
+            Disturbance::Greedy,
+            &[RUNRAIL, NO_CLASSES],
         );
-        add("greedy account 3x", 30, Trouble::Greedy, &[OURS, ONE_QUEUE]);
-        all
+        scenarios
     }
 }
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -1,4 +1,4 @@
-//! Routers and leader agents on a virtual clock, with endpoints that take time.
+//! Simulates routers and agents on a virtual clock, with their network, store and endpoints.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -20,23 +20,27 @@
 };
 use runrail::wire::encode;
 
-use crate::load::{arrivals, body, Arrival, GROUPS, PIECE, PREFILL, SLOTS};
-use crate::scenario::{Scenario, Trouble};
+use crate::load::{
+    arrivals, bundle_body, Arrival, FIRST_PIECE_MS, GROUPS, PIECE_INTERVAL_MS, SLOTS_PER_GROUP,
+};
+use crate::scenario::{Disturbance, Scenario};
 
 const ROUTERS: usize = 3;
-/// One way between two processes, in milliseconds.
-const WAY: u64 = 1;
-/// When trouble comes.
-const TROUBLE_AT: u64 = 20_000;
-/// When the last request must have ended.
-const END: u64 = 90_000;
+/// Delay of a message between two processes.
+const ONE_WAY_MS: u64 = 1;
+/// Time from the start of the arrivals until the scenario's disturbance begins.
+const DISTURBANCE_AT_MS: u64 = 20_000;
+/// Time at which a simulation stops: after the last deadline, as requests arrive until 64 s
+/// and have 20 s at most.
+const END_MS: u64 = 90_000;
 
-/// What became of the requests.
+/// Results of the requests, with the control traffic of a run.
 #[derive(Default)]
 pub struct Outcomes {
+    /// Times in milliseconds from arrival to the first piece, by class.
     pub urgent_first: Vec<u64>,
-    pub draft_first: Vec<u64>,
-    /// Times to the first piece of the three small accounts, all classes.
+    pub drafting_first: Vec<u64>,
+    /// The same for the three small accounts, all classes.
     pub small_first: Vec<u64>,
     pub answered: u64,
     pub urgent_answered: u64,
@@ -44,42 +48,56 @@
     pub sent: u64,
     pub small_answered: u64,
     pub small_sent: u64,
-    pub hinted: u64,
-    pub unknown: u64,
+    /// Requests refused before a run, with a time after which to retry.
+    pub retry_hinted: u64,
+    /// Requests that ended with the outcome unknown or failed.
+    pub other_failures: u64,
+    /// Parts of answers to a request that isn't open, answers with a wrong number of pieces,
+    /// and refusals that report a request as not run although an endpoint had started it.
     pub wrong: u64,
     pub store_calls: u64,
+    /// Encoded size of all messages but run orders and pieces.
     pub control_bytes: u64,
+    /// Orders to an endpoint to cancel a run that is under way.
     pub paused: u64,
 }
 
-enum Due {
+/// What happens at a scheduled time.
+enum Action {
+    /// A node handles an event.
     Node(usize, Event),
+    /// A request arrives.
     Arrive(usize),
+    /// The endpoint of a node emits the next piece of a run, or ends the run.
     Piece(usize, RunId, u64),
-    Trouble,
+    Disturbance,
 }
 
+/// A run at an endpoint.
 struct Run {
-    left: u64,
+    pieces_left: u64,
     piece_ms: u64,
     cancelled: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     now: u64,
-    seq: u64,
-    due: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    slots: HashMap<usize, Due>,
+    sequence: u64,
+    /// Time, sequence number and key in `actions` of each scheduled action.
+    schedule: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    actions: HashMap<usize, Action>,
+    /// The routers, followed by the agents.
     nodes: Vec<Node>,
     dead: HashSet<usize>,
     runs: HashMap<(usize, RunId), Run>,
     arrivals: Vec<Arrival>,
-    /// Pieces that each request's caller has, and its arrival.
-    callers: HashMap<RequestId, (usize, u64)>,
+    /// Open requests: index of the arrival, and number of pieces that the caller has received.
+    open_requests: HashMap<RequestId, (usize, u64)>,
+    /// Requests that an endpoint has begun to run.
     started: HashSet<RequestId>,
     store_down: bool,
     scenario: Scenario,
-    pub out: Outcomes,
+    pub outcomes: Outcomes,
 }
 
 fn agent_name(i: usize) -> String {
@@ -123,7 +141,7 @@
     let bundle = Bundle {
         number: 1,
         author: "anna".into(),
-        body: body(),
+        body: bundle_body(),
     };
     let head = Head {
         number: 1,
@@ -133,63 +151,65 @@
     vec![
         entry(
             Keys::bundle(1),
-            serde_json::to_string(&bundle).expect("a bundle"),
+            serde_json::to_string(&bundle).expect("a bundle can be serialized"),
         ),
         entry(
             Keys::domain("d"),
-            serde_json::to_string(&record()).expect("a record"),
+            serde_json::to_string(&record()).expect("a record can be serialized"),
         ),
         entry(
             Keys::HEAD.into(),
-            serde_json::to_string(&head).expect("a head"),
+            serde_json::to_string(&head).expect("a head can be serialized"),
         ),
     ]
 }
 
-impl World {
+impl Simulation {
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut nodes = Vec::new();
         for r in 0..ROUTERS {
-            let knobs = RouterKnobs {
+            let params = RouterKnobs {
                 policy: scenario.policy.route,
                 request_limit: 1_000_000,
                 ..RouterKnobs::default()
             };
             let id = InstanceId::new(&format!("r{r}"));
-            let state = RouterState::new(id, addr(), "h", seed * 10 + r as u64 + 1, knobs);
+            let state = RouterState::new(id, addr(), "h", seed * 10 + r as u64 + 1, params);
             nodes.push(Node::Router(Box::new(state)));
         }
         for i in 0..GROUPS as usize {
-            let knobs = AgentKnobs {
-                slots: SLOTS as u32,
+            let params = AgentKnobs {
+                slots: SLOTS_PER_GROUP as u32,
                 by_class: scenario.policy.by_class,
                 ..AgentKnobs::default()
             };
-            let mut state = AgentState::new(InstanceId::new(&agent_name(i)), 1, 0, knobs);
+            let mut state = AgentState::new(InstanceId::new(&agent_name(i)), 1, 0, params);
             state.ready_at = 0;
             nodes.push(Node::Agent(Box::new(state)));
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
-            seq: 0,
-            due: BinaryHeap::new(),
-            slots: HashMap::new(),
+            sequence: 0,
+            schedule: BinaryHeap::new(),
+            actions: HashMap::new(),
             nodes,
             dead: HashSet::new(),
             runs: HashMap::new(),
             arrivals: arrivals(&scenario, seed),
-            callers: HashMap::new(),
+            open_requests: HashMap::new(),
             started: HashSet::new(),
             store_down: false,
             scenario,
-            out: Outcomes::default(),
+            outcomes: Outcomes::default(),
         };
-        world.begin();
-        world
+        simulation.begin();
+        simulation
     }
 
+    /// Delivers the first events and schedules ticks, arrivals and the disturbance. Requests
+    /// arrive from 4 s on, which leaves the nodes time to open sessions and groups.
     fn begin(&mut self) {
-        let list: Vec<_> = (0..ROUTERS)
+        let instances: Vec<_> = (0..ROUTERS)
             .map(|r| Instance {
                 id: InstanceId::new(&format!("r{r}")),
                 hall: Arc::from("h"),
@@ -200,49 +220,49 @@
             })
             .collect();
         for r in 0..ROUTERS {
-            self.feed(r, Event::Tick);
-            self.feed(r, Event::List(ListReply::Instances(list.clone())));
+            self.handle(r, Event::Tick);
+            self.handle(r, Event::List(ListReply::Instances(instances.clone())));
         }
         for n in 0..self.nodes.len() {
-            self.at(1 + n as u64, Due::Node(n, Event::Tick));
+            self.schedule_at(1 + n as u64, Action::Node(n, Event::Tick));
         }
-        let start = 4_000;
+        let start_ms = 4_000;
         for i in 0..self.arrivals.len() {
-            self.arrivals[i].at += start;
-            self.at(self.arrivals[i].at, Due::Arrive(i));
+            self.arrivals[i].at_ms += start_ms;
+            self.schedule_at(self.arrivals[i].at_ms, Action::Arrive(i));
         }
-        self.at(start + TROUBLE_AT, Due::Trouble);
+        self.schedule_at(start_ms + DISTURBANCE_AT_MS, Action::Disturbance);
     }
 
-    fn at(&mut self, time: u64, due: Due) {
-        self.seq += 1;
-        let slot = self.seq as usize;
-        self.due.push(Reverse((time, self.seq, slot)));
-        self.slots.insert(slot, due);
+    fn schedule_at(&mut self, time: u64, action: Action) {
+        self.sequence += 1;
+        let key = self.sequence as usize;
+        self.schedule.push(Reverse((time, self.sequence, key)));
+        self.actions.insert(key, action);
     }
 
     pub fn run(mut self) -> Outcomes {
-        while let Some(Reverse((time, _, slot))) = self.due.pop() {
-            if time > END {
+        while let Some(Reverse((time, _, key))) = self.schedule.pop() {
+            if time > END_MS {
                 break;
             }
             self.now = time;
-            match self.slots.remove(&slot) {
-                Some(Due::Node(n, Event::Tick)) => {
-                    self.feed(n, Event::Tick);
-                    self.at(time + Event::TICK_MS, Due::Node(n, Event::Tick));
+            match self.actions.remove(&key) {
+                Some(Action::Node(n, Event::Tick)) => {
+                    self.handle(n, Event::Tick);
+                    self.schedule_at(time + Event::TICK_MS, Action::Node(n, Event::Tick));
                 }
-                Some(Due::Node(n, event)) => self.feed(n, event),
-                Some(Due::Arrive(i)) => self.arrive(i),
-                Some(Due::Piece(n, run, epoch)) => self.piece(n, run, epoch),
-                Some(Due::Trouble) => self.trouble(),
+                Some(Action::Node(n, event)) => self.handle(n, event),
+                Some(Action::Arrive(i)) => self.on_arrival(i),
+                Some(Action::Piece(n, run, epoch)) => self.on_piece_due(n, run, epoch),
+                Some(Action::Disturbance) => self.disturb(),
                 None => {}
             }
         }
-        self.out
+        self.outcomes
     }
 
-    fn feed(&mut self, n: usize, event: Event) {
+    fn handle(&mut self, n: usize, event: Event) {
         if self.dead.contains(&n) {
             return;
         }
@@ -260,12 +280,14 @@
                 role: PeerRole::Router,
             },
             Node::Agent(s) => s.as_peer(),
-            Node::Direct(_) => unreachable!("this world has no direct links"),
+            Node::Direct(_) => unreachable!("this simulation has no direct routers"),
         }
     }
 
-    fn index(id: &InstanceId) -> usize {
-        let number: usize = id.as_str()[1..].parse().expect("a number");
+    fn node_index(id: &InstanceId) -> usize {
+        let number: usize = id.as_str()[1..]
+            .parse()
+            .expect("an instance id ends in its number");
         if id.as_str().starts_with('r') {
             number
         } else {
@@ -276,35 +298,38 @@
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
-                let payload = matches!(message, Message::Run(_) | Message::Piece { .. });
-                if !payload {
-                    self.out.control_bytes += encode(&message).map_or(0, |b| b.len() as u64);
+                let is_payload = matches!(message, Message::Run(_) | Message::Piece { .. });
+                if !is_payload {
+                    self.outcomes.control_bytes += encode(&message).map_or(0, |b| b.len() as u64);
                 }
                 let from = self.peer(n);
                 let event = Event::Message { from, message };
-                self.at(self.now + WAY, Due::Node(Self::index(&to), event));
+                self.schedule_at(
+                    self.now + ONE_WAY_MS,
+                    Action::Node(Self::node_index(&to), event),
+                );
             }
             Effect::Dial { to, .. } => {
-                let other = Self::index(&to);
+                let other = Self::node_index(&to);
                 let (me, peer) = (self.peer(n), self.peer(other));
-                self.at(self.now + WAY, Due::Node(other, Event::Up(me)));
-                self.at(self.now + WAY, Due::Node(n, Event::Up(peer)));
+                self.schedule_at(self.now + ONE_WAY_MS, Action::Node(other, Event::Up(me)));
+                self.schedule_at(self.now + ONE_WAY_MS, Action::Node(n, Event::Up(peer)));
             }
             Effect::Store { call, op } => {
-                self.out.store_calls += 1;
-                let result = self.store(&op);
-                self.at(
-                    self.now + 2 * WAY,
-                    Due::Node(n, Event::Store { call, result }),
+                self.outcomes.store_calls += 1;
+                let result = self.store_result(&op);
+                self.schedule_at(
+                    self.now + 2 * ONE_WAY_MS,
+                    Action::Node(n, Event::Store { call, result }),
                 );
             }
-            Effect::Endpoint(call) => self.endpoint(n, call),
-            Effect::Answer { request, part } => self.told(request, part),
+            Effect::Endpoint(call) => self.on_endpoint_call(n, call),
+            Effect::Answer { request, part } => self.on_answer_part(request, part),
             _ => {}
         }
     }
 
-    fn store(&self, op: &StoreCall) -> Result<StoreReply, StoreFault> {
+    fn store_result(&self, op: &StoreCall) -> Result<StoreReply, StoreFault> {
         if self.store_down {
             return Err(StoreFault);
         }
@@ -321,7 +346,7 @@
                 lease: 1,
                 ttl_s: 1_000,
             }),
-            // Nobody plans here: the planner's key is held by another.
+            // No router becomes planner: the key of the planner lease belongs to another.
             _ => Ok(StoreReply::Entries {
                 revision: 1,
                 entries: vec![StoreEntry {
@@ -333,83 +358,89 @@
         }
     }
 
-    fn endpoint(&mut self, n: usize, call: EndpointCall) {
+    fn on_endpoint_call(&mut self, n: usize, call: EndpointCall) {
         match call {
             EndpointCall::Load(order) => {
                 let event = EndpointEvent::Loaded {
                     epoch: order.epoch,
                     ok: true,
                 };
-                self.at(self.now + WAY, Due::Node(n, Event::Endpoint(event)));
+                self.schedule_at(
+                    self.now + ONE_WAY_MS,
+                    Action::Node(n, Event::Endpoint(event)),
+                );
             }
-            EndpointCall::Start(order) => self.start(n, &order),
+            EndpointCall::Start(order) => self.start_run(n, &order),
             EndpointCall::Cancel { run, .. } => {
                 if let Some(run) = self.runs.get_mut(&(n, run)) {
                     run.cancelled = true;
-                    self.out.paused += 1;
+                    self.outcomes.paused += 1;
                 }
             }
         }
     }
 
-    fn start(&mut self, n: usize, order: &StartOrder) {
+    fn start_run(&mut self, n: usize, order: &StartOrder) {
         self.started.insert(order.run.request);
-        let pieces: u64 = order.body.parse().expect("a number of pieces");
-        let slow = self.scenario.trouble == Trouble::Slow && n == ROUTERS;
-        let factor = if slow { 5 } else { 1 };
+        let pieces: u64 = order
+            .body
+            .parse()
+            .expect("the body holds the number of pieces");
+        let is_slow = self.scenario.disturbance == Disturbance::Slow && n == ROUTERS;
+        let factor = if is_slow { 5 } else { 1 };
         let run = Run {
-            left: pieces.saturating_sub(order.offset),
-            piece_ms: PIECE * factor,
+            pieces_left: pieces.saturating_sub(order.offset),
+            piece_ms: PIECE_INTERVAL_MS * factor,
             cancelled: false,
         };
         self.runs.insert((n, order.run), run);
-        self.at(
-            self.now + PREFILL * factor,
-            Due::Piece(n, order.run, order.epoch),
+        self.schedule_at(
+            self.now + FIRST_PIECE_MS * factor,
+            Action::Piece(n, order.run, order.epoch),
         );
     }
 
-    fn piece(&mut self, n: usize, id: RunId, epoch: u64) {
+    fn on_piece_due(&mut self, n: usize, id: RunId, epoch: u64) {
         let Some(run) = self.runs.get_mut(&(n, id)) else {
             return;
         };
         let result = if run.cancelled {
             Some(RunResult::Cancelled)
-        } else if run.left == 0 {
+        } else if run.pieces_left == 0 {
             Some(RunResult::Complete(200))
         } else {
-            run.left -= 1;
+            run.pieces_left -= 1;
             None
         };
         let next = self.now + run.piece_ms;
         match result {
             Some(result) => {
                 self.runs.remove(&(n, id));
-                self.feed(n, Event::Endpoint(EndpointEvent::Ended { run: id, result }));
+                self.handle(n, Event::Endpoint(EndpointEvent::Ended { run: id, result }));
             }
             None => {
                 let event = EndpointEvent::Piece {
                     run: id,
                     text: "x".into(),
                 };
-                self.feed(n, Event::Endpoint(event));
-                self.at(next, Due::Piece(n, id, epoch));
+                self.handle(n, Event::Endpoint(event));
+                self.schedule_at(next, Action::Piece(n, id, epoch));
             }
         }
     }
 
-    fn arrive(&mut self, i: usize) {
+    fn on_arrival(&mut self, i: usize) {
         let arrival = &self.arrivals[i];
         let id = RequestId {
             node: 1,
             number: i as u64,
         };
         let router = arrival.router;
-        self.out.sent += 1;
-        self.out.urgent_sent += u64::from(arrival.urgent);
-        self.out.small_sent += u64::from(arrival.account != "large");
+        self.outcomes.sent += 1;
+        self.outcomes.urgent_sent += u64::from(arrival.urgent);
+        self.outcomes.small_sent += u64::from(arrival.account != "large");
         let class = if arrival.urgent { "urgent" } else { "drafting" };
-        let call = CallerRequest {
+        let caller_request = CallerRequest {
             id,
             key_sha256: arrival.account.into(),
             model: Arc::from("m"),
@@ -420,66 +451,68 @@
             deadline_ms: None,
             once_key: None,
         };
-        self.callers.insert(id, (i, 0));
-        self.feed(router, Event::Request(Box::new(call)));
+        self.open_requests.insert(id, (i, 0));
+        self.handle(router, Event::Request(Box::new(caller_request)));
     }
 
-    fn told(&mut self, request: RequestId, part: AnswerPart) {
-        let Some((i, pieces)) = self.callers.get_mut(&request) else {
-            self.out.wrong += 1;
+    fn on_answer_part(&mut self, request: RequestId, part: AnswerPart) {
+        let Some((i, received)) = self.open_requests.get_mut(&request) else {
+            self.outcomes.wrong += 1;
             return;
         };
         let arrival = &self.arrivals[*i];
         match part {
             AnswerPart::Piece(_) => {
-                *pieces += 1;
-                if *pieces > 1 {
+                *received += 1;
+                if *received > 1 {
                     return;
                 }
-                let first = self.now - arrival.at;
+                let first_ms = self.now - arrival.at_ms;
                 if arrival.urgent {
-                    self.out.urgent_first.push(first);
+                    self.outcomes.urgent_first.push(first_ms);
                 } else {
-                    self.out.draft_first.push(first);
+                    self.outcomes.drafting_first.push(first_ms);
                 }
                 if arrival.account != "large" {
-                    self.out.small_first.push(first);
+                    self.outcomes.small_first.push(first_ms);
                 }
             }
             AnswerPart::End { .. } => {
-                self.out.wrong += u64::from(*pieces != arrival.pieces);
-                self.out.answered += 1;
-                self.out.urgent_answered += u64::from(arrival.urgent);
-                self.out.small_answered += u64::from(arrival.account != "large");
-                self.callers.remove(&request);
+                self.outcomes.wrong += u64::from(*received != arrival.pieces);
+                self.outcomes.answered += 1;
+                self.outcomes.urgent_answered += u64::from(arrival.urgent);
+                self.outcomes.small_answered += u64::from(arrival.account != "large");
+                self.open_requests.remove(&request);
             }
             AnswerPart::Problem(problem) => {
                 let not_run = problem.outcome == Outcome::NotRun;
-                self.out.hinted += u64::from(not_run && problem.retry_ms.is_some());
-                self.out.unknown += u64::from(!not_run);
-                let ran = self.started.contains(&request);
-                self.out.wrong += u64::from(not_run && ran);
-                self.callers.remove(&request);
+                self.outcomes.retry_hinted += u64::from(not_run && problem.retry_ms.is_some());
+                self.outcomes.other_failures += u64::from(!not_run);
+                let has_started = self.started.contains(&request);
+                self.outcomes.wrong += u64::from(not_run && has_started);
+                self.open_requests.remove(&request);
             }
         }
     }
 
-    fn trouble(&mut self) {
-        let hit = ROUTERS..ROUTERS + GROUPS as usize / 10;
-        match self.scenario.trouble {
-            Trouble::Loss => {
-                for n in hit {
-                    let down = Event::Down(self.peer(n).id);
+    /// Starts the scenario's disturbance.
+    fn disturb(&mut self) {
+        let affected = ROUTERS..ROUTERS + GROUPS as usize / 10;
+        match self.scenario.disturbance {
+            Disturbance::Loss => {
+                for n in affected {
+                    let session_down = Event::Down(self.peer(n).id);
                     self.dead.insert(n);
                     self.runs.retain(|(at, _), _| *at != n);
                     for r in 0..ROUTERS {
-                        // A router notices a silent session after three idle times.
-                        self.at(self.now + 6_000, Due::Node(r, down.clone()));
+                        // A session ends after three ping intervals without any frame, here
+                        // taken as 2 s each.
+                        self.schedule_at(self.now + 6_000, Action::Node(r, session_down.clone()));
                     }
                 }
             }
-            Trouble::Drain => hit.for_each(|n| self.feed(n, Event::Stop)),
-            Trouble::Outage => self.store_down = true,
+            Disturbance::Drain => affected.for_each(|n| self.handle(n, Event::Stop)),
+            Disturbance::Outage => self.store_down = true,
             _ => {}
         }
     }
