--- a/benches/capacity/fixture.rs
+++ b/benches/capacity/fixture.rs
@@ -1,4 +1,4 @@
-//! Fleets of any size, as records and bundles.
+//! Builds the records, instances and bundle of a fleet of any size.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,9 +8,8 @@
     InstanceId, InstanceState, Member, ModelKind, ModelSpec, Phase,
 };
 
-/// Data halls, and groups in one fabric domain.
 pub const HALLS: usize = 11;
-pub const GROUPS_A_DOMAIN: usize = 8;
+pub const GROUPS_PER_DOMAIN: usize = 8;
 
 pub fn addr() -> SocketAddr {
     SocketAddr::from(([10, 20, 30, 40], 7_000))
@@ -35,24 +34,26 @@
     }
 }
 
-/// Records of a fleet with this many groups of four.
+/// Returns the domain records of a fleet with this many groups of four members.
 pub fn domains(groups: usize) -> Vec<DomainRecord> {
-    let count = groups.div_ceil(GROUPS_A_DOMAIN);
-    (0..count)
+    let domain_count = groups.div_ceil(GROUPS_PER_DOMAIN);
+    (0..domain_count)
         .map(|d| {
             let name = format!("hall{:02}-rack{d:03}", d % HALLS);
-            let left = (groups - d * GROUPS_A_DOMAIN).min(GROUPS_A_DOMAIN);
+            let group_count = (groups - d * GROUPS_PER_DOMAIN).min(GROUPS_PER_DOMAIN);
             DomainRecord {
-                groups: (1..=left).map(|n| group(&name, n as u64, 4)).collect(),
+                groups: (1..=group_count)
+                    .map(|n| group(&name, n as u64, 4))
+                    .collect(),
                 hall: Arc::from(format!("hall{:02}", d % HALLS)),
-                epoch: left as u64,
+                epoch: group_count as u64,
                 domain: Arc::from(name),
             }
         })
         .collect()
 }
 
-/// Live instances of one hall: all members of its groups.
+/// Returns the instances of one data hall: all members of its groups, live.
 pub fn instances(domains: &[DomainRecord], hall: &str) -> Vec<Instance> {
     let here = domains.iter().filter(|d| &*d.hall == hall);
     here.flat_map(|d| {
--- a/benches/capacity/leader.rs
+++ b/benches/capacity/leader.rs
@@ -1,4 +1,5 @@
-//! A leader of 4, 8, 16 and 32 members, and a member.
+//! Measures an agent that leads a group of 4, 8, 16 or 32 members: CPU time, and the
+//! traffic of leases and reports.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -9,44 +10,44 @@
 use runrail::types::{Brief, InstanceId, RequestId};
 
 use crate::fixture::{bundle, group};
-use crate::micros;
-use crate::sizes::{bytes, lease_ask, lease_grant, load_report, report};
+use crate::mean_us;
+use crate::sizes::{encoded_bytes, lease_ask, lease_grant, load_report, report};
 
-/// Rounds of lease requests a second, by default settings.
-const ROUNDS_A_SECOND: f64 = 1.0;
+/// Rounds of lease requests with the default settings.
+const ROUNDS_PER_S: f64 = 1.0;
 /// Headers of a small message: Ethernet, IP, TCP with timestamps, WebSocket.
-const HEADERS: usize = 14 + 20 + 32 + 6;
+const HEADER_BYTES: usize = 14 + 20 + 32 + 6;
 
 pub fn run() {
-    println!("| members | round us | run us | piece us | lease B/s sent by the leader | lease B/s of a member |");
+    println!("| members | round us | run us | piece us | lease B/s sent by the leader | lease B/s sent by a member |");
     println!("|---|---|---|---|---|---|");
     for members in [4, 8, 16, 32] {
         let mut bench = Bench::new(members);
-        let round = micros(500, || bench.round());
-        let run = micros(2_000, || bench.request(0));
-        let piece = (micros(1_000, || bench.request(40)) - run) / 40.0;
-        let ask = bytes(&lease_ask()) + HEADERS;
-        let grant = bytes(&lease_grant()) + HEADERS;
-        let leader = (members - 1) as f64 * ask as f64 * ROUNDS_A_SECOND;
+        let round = mean_us(500, || bench.round());
+        let run = mean_us(2_000, || bench.request(0));
+        let piece = (mean_us(1_000, || bench.request(40)) - run) / 40.0;
+        let request_bytes = encoded_bytes(&lease_ask()) + HEADER_BYTES;
+        let grant_bytes = encoded_bytes(&lease_grant()) + HEADER_BYTES;
+        let leader_rate = (members - 1) as f64 * request_bytes as f64 * ROUNDS_PER_S;
         println!(
-            "| {members} | {round:.1} | {run:.1} | {piece:.2} | {leader:.0} | {:.0} |",
-            grant as f64 * ROUNDS_A_SECOND
+            "| {members} | {round:.1} | {run:.1} | {piece:.2} | {leader_rate:.0} | {:.0} |",
+            grant_bytes as f64 * ROUNDS_PER_S
         );
     }
     println!(
         "\nload report to one router: {} bytes with headers",
-        bytes(&load_report()) + HEADERS
+        encoded_bytes(&load_report()) + HEADER_BYTES
     );
     println!(
         "report to one router: {} bytes with headers",
-        bytes(&report()) + HEADERS
+        encoded_bytes(&report()) + HEADER_BYTES
     );
 }
 
 struct Bench {
     node: Node,
     now: u64,
-    next: u64,
+    last_number: u64,
     members: Vec<Peer>,
 }
 
@@ -79,7 +80,7 @@
         let mut bench = Self {
             node: Node::Agent(Box::new(state)),
             now: 1,
-            next: 0,
+            last_number: 0,
             members,
         };
         for r in 0..35 {
@@ -88,10 +89,10 @@
                 incarnation: 1,
                 role: PeerRole::Router,
             };
-            bench.feed(Event::Up(router));
+            bench.handle(Event::Up(router));
         }
-        bench.router(Message::Assign(Box::new(record)));
-        bench.feed(Event::Endpoint(EndpointEvent::Loaded {
+        bench.on_router_message(Message::Assign(Box::new(record)));
+        bench.handle(Event::Endpoint(EndpointEvent::Loaded {
             epoch: 7,
             ok: true,
         }));
@@ -99,23 +100,24 @@
         bench
     }
 
-    fn feed(&mut self, event: Event) -> Vec<Effect> {
+    fn handle(&mut self, event: Event) -> Vec<Effect> {
         step(&mut self.node, self.now, event)
     }
 
-    fn router(&mut self, message: Message) -> Vec<Effect> {
+    /// Delivers a message from a router.
+    fn on_router_message(&mut self, message: Message) -> Vec<Effect> {
         let from = Peer {
             id: InstanceId::new("r1"),
             incarnation: 1,
             role: PeerRole::Router,
         };
-        self.feed(Event::Message { from, message })
+        self.handle(Event::Message { from, message })
     }
 
-    /// One round: requests to all members, and their grants.
+    /// Runs one round of lease requests to all members, and delivers their grants.
     fn round(&mut self) {
         self.now += 1_000;
-        let effects = self.feed(Event::Tick);
+        let effects = self.handle(Event::Tick);
         let round = effects.iter().find_map(|e| match e {
             Effect::Send {
                 message: Message::LeaseAsk(ask),
@@ -133,16 +135,17 @@
                 leaving: false,
                 bundle: 1,
             };
-            black_box(self.feed(Event::Message { from, message }));
+            black_box(self.handle(Event::Message { from, message }));
         }
     }
 
+    /// Runs one request whose answer has this many pieces.
     fn request(&mut self, pieces: u64) {
-        self.next += 1;
+        self.last_number += 1;
         let run = RunId {
             request: RequestId {
                 node: 1,
-                number: self.next,
+                number: self.last_number,
             },
             attempt: 1,
         };
@@ -162,12 +165,12 @@
             offset: 0,
             prefix: String::new(),
         };
-        black_box(self.router(Message::Run(Box::new(order))));
+        black_box(self.on_router_message(Message::Run(Box::new(order))));
         for _ in 0..pieces {
             let text = "token".to_string();
-            black_box(self.feed(Event::Endpoint(EndpointEvent::Piece { run, text })));
+            black_box(self.handle(Event::Endpoint(EndpointEvent::Piece { run, text })));
         }
         let result = RunResult::Complete(200);
-        black_box(self.feed(Event::Endpoint(EndpointEvent::Ended { run, result })));
+        black_box(self.handle(Event::Endpoint(EndpointEvent::Ended { run, result })));
     }
 }
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,7 +1,7 @@
-//! Slopes behind docs/CAPACITY.md: processor time, bytes and memory by size.
+//! Measures how CPU time, bytes and memory grow with the size of a fleet.
 //!
-//! `cargo bench --bench capacity` prints every number that the page is worked
-//! out from. Ratios between sizes count; absolute times are this machine's.
+//! `cargo bench --bench capacity` prints the numbers that docs/CAPACITY.md is derived from.
+//! Compare the ratios between sizes: absolute times depend on the machine.
 
 mod fixture;
 mod leader;
@@ -11,8 +11,9 @@
 mod sizes;
 
 fn main() {
-    let wanted = std::env::args().skip(1).find(|a| !a.starts_with('-'));
-    let wanted = wanted.unwrap_or_default();
+    // The first argument without a leading dash selects the parts whose name contains it.
+    let filter = std::env::args().skip(1).find(|a| !a.starts_with('-'));
+    let filter = filter.unwrap_or_default();
     let parts: [(&str, fn()); 5] = [
         ("sizes", sizes::run),
         ("router", router::run),
@@ -21,7 +22,7 @@
         ("processes", processes::run),
     ];
     for (name, part) in parts {
-        if name.contains(&wanted) {
+        if name.contains(&filter) {
             println!("\n## {name}\n");
             part();
         }
@@ -36,11 +37,11 @@
     number.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Microseconds of one call, as the mean of many.
-fn micros(times: u32, mut call: impl FnMut()) -> f64 {
+/// Returns the mean time of a call in microseconds over `repeats` calls.
+fn mean_us(repeats: u32, mut call: impl FnMut()) -> f64 {
     let start = std::time::Instant::now();
-    for _ in 0..times {
+    for _ in 0..repeats {
         call();
     }
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(times)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(repeats)
 }
--- a/benches/capacity/processes.rs
+++ b/benches/capacity/processes.rs
@@ -1,4 +1,5 @@
-//! Real processes: processor time of a request and of a piece, calls when idle.
+//! Measures real processes: CPU time of a request and of a piece, memory, and store calls
+//! when idle.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +7,8 @@
 
 const REQUESTS: u64 = 400;
 const CALLERS: u64 = 8;
-/// Ticks of the kernel's process times in a second.
-const TICKS: f64 = 100.0;
+/// Frequency of the clock ticks in which /proc/PID/stat gives CPU times.
+const TICKS_PER_S: f64 = 100.0;
 
 pub fn run() {
     let engine = EngineKnobs {
@@ -24,61 +25,62 @@
     );
     let leader = fleet.members("e1")[0].clone();
     let member = fleet.members("e1")[1].clone();
-    idle(&fleet, &leader, &member);
-    println!("| pieces | requests/s | router cpu us a request | leader cpu us a request |\n|---|---|---|---|");
+    measure_idle(&fleet, &leader, &member);
+    println!("| pieces | requests/s | router CPU us per request | leader CPU us per request |\n|---|---|---|---|");
     let mut rows = Vec::new();
     for pieces in [4, 20, 60] {
-        let before = (cpu(&fleet, "e1"), cpu(&fleet, &leader));
+        let before = (cpu_s(&fleet, "e1"), cpu_s(&fleet, &leader));
         let start = Instant::now();
-        load(&fleet, pieces);
-        let took = start.elapsed().as_secs_f64();
-        let each = |now: f64, then: f64| (now - then) * 1e6 / REQUESTS as f64;
-        let router = each(cpu(&fleet, "e1"), before.0);
-        let agent = each(cpu(&fleet, &leader), before.1);
+        send_requests(&fleet, pieces);
+        let elapsed = start.elapsed().as_secs_f64();
+        let us_per_request = |now: f64, then: f64| (now - then) * 1e6 / REQUESTS as f64;
+        let router_us = us_per_request(cpu_s(&fleet, "e1"), before.0);
+        let leader_us = us_per_request(cpu_s(&fleet, &leader), before.1);
         println!(
-            "| {pieces} | {:.0} | {router:.0} | {agent:.0} |",
-            REQUESTS as f64 / took
+            "| {pieces} | {:.0} | {router_us:.0} | {leader_us:.0} |",
+            REQUESTS as f64 / elapsed
         );
-        rows.push((pieces as f64, router, agent));
+        rows.push((pieces as f64, router_us, leader_us));
     }
-    let (a, b) = (rows[0], rows[2]);
-    let slope = |x: f64, y: f64| (y - x) / (b.0 - a.0);
+    let (first, last) = (rows[0], rows[2]);
+    let slope = |x: f64, y: f64| (y - x) / (last.0 - first.0);
     println!(
-        "\nslope: router {:.1} us a piece, leader {:.1} us a piece",
-        slope(a.1, b.1),
-        slope(a.2, b.2)
+        "\nslope: router {:.1} us per piece, leader {:.1} us per piece",
+        slope(first.1, last.1),
+        slope(first.2, last.2)
     );
-    streams(&fleet, &leader);
+    measure_streams(&fleet, &leader);
     println!(
         "memory: router {} KiB, leader {} KiB, member {} KiB",
-        rss(&fleet, "e1"),
-        rss(&fleet, &leader),
-        rss(&fleet, &member)
+        resident_kib(&fleet, "e1"),
+        resident_kib(&fleet, &leader),
+        resident_kib(&fleet, &member)
     );
 }
 
-fn idle(fleet: &Fleet, leader: &str, member: &str) {
+/// Measures CPU time, memory and store calls while no request is sent.
+fn measure_idle(fleet: &Fleet, leader: &str, member: &str) {
     let ids = ["e1", leader, member];
-    let before: Vec<_> = ids.iter().map(|i| cpu(fleet, i)).collect();
+    let before: Vec<_> = ids.iter().map(|i| cpu_s(fleet, i)).collect();
     let calls = fleet.platform.calls();
     std::thread::sleep(Duration::from_secs(10));
     let after = fleet.platform.calls();
-    println!("| idle for 10 s | cpu % of a core | KiB resident |\n|---|---|---|");
+    println!("| idle for 10 s | CPU % of a core | KiB resident |\n|---|---|---|");
     for (i, id) in ids.iter().enumerate() {
-        let part = (cpu(fleet, id) - before[i]) * 10.0;
+        let percent = (cpu_s(fleet, id) - before[i]) * 10.0;
         let role = ["router", "leader", "member"][i];
-        println!("| {role} | {part:.2} | {} |", rss(fleet, id));
+        println!("| {role} | {percent:.2} | {} |", resident_kib(fleet, id));
     }
     println!(
-        "\ncalls to the service in 10 s: {} reads, {} writes, {} watches opened\n",
+        "\nstore calls in 10 s: {} reads, {} writes, {} watches opened\n",
         after.0 - calls.0,
         after.1 - calls.1,
         after.2 - calls.2
     );
 }
 
-/// Memory of open streams: many at once, each waiting most of the time.
-fn streams(fleet: &Fleet, leader: &str) {
+/// Measures the memory of many concurrent streams that wait most of the time.
+fn measure_streams(fleet: &Fleet, leader: &str) {
     println!("| open streams | router KiB | leader KiB |\n|---|---|---|");
     for engine in fleet.engines.values() {
         engine.set_knobs(|k| {
@@ -105,14 +107,14 @@
             });
             println!(
                 "| {count} | {} | {} |",
-                rss(fleet, "e1"),
-                rss(fleet, leader)
+                resident_kib(fleet, "e1"),
+                resident_kib(fleet, leader)
             );
         });
     }
 }
 
-fn load(fleet: &Fleet, pieces: u64) {
+fn send_requests(fleet: &Fleet, pieces: u64) {
     std::thread::scope(|scope| {
         for _ in 0..CALLERS {
             scope.spawn(|| {
@@ -133,11 +135,11 @@
 
 fn pid(fleet: &Fleet, id: &str) -> u32 {
     let process = fleet.routers.get(id).or_else(|| fleet.agents.get(id));
-    process.expect("a process").pid()
+    process.expect("the fleet has this router or agent").pid()
 }
 
-/// Processor time of a process so far, in seconds.
-fn cpu(fleet: &Fleet, id: &str) -> f64 {
+/// Returns the CPU time of a process so far, in seconds.
+fn cpu_s(fleet: &Fleet, id: &str) -> f64 {
     let text =
         std::fs::read_to_string(format!("/proc/{}/stat", pid(fleet, id))).unwrap_or_default();
     let fields: Vec<_> = text
@@ -152,11 +154,11 @@
             .and_then(|f| f.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_S
 }
 
-/// Resident memory of a process, in KiB.
-fn rss(fleet: &Fleet, id: &str) -> u64 {
+/// Returns the resident memory of a process, in KiB.
+fn resident_kib(fleet: &Fleet, id: &str) -> u64 {
     let text =
         std::fs::read_to_string(format!("/proc/{}/status", pid(fleet, id))).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
--- a/benches/capacity/router.rs
+++ b/benches/capacity/router.rs
@@ -1,4 +1,4 @@
-//! A router and a planner before 100, 500 and 2,100 groups.
+//! Measures a router and its planner in fleets of 100, 500 and 2,100 groups.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -12,28 +12,28 @@
 use runrail::types::{Head, InstanceId, ModelKind, Phase, RequestId};
 
 use crate::fixture::{addr, bundle, domains, instances, HALLS};
-use crate::{micros, resident_kib};
+use crate::{mean_us, resident_kib};
 
 /// Pieces of one answer.
 const PIECES: u64 = 20;
 const REQUESTS: u64 = 2_000;
 
 pub fn run() {
-    println!("| groups | sessions with leaders | router state KiB | tick us | request us | piece us | record change us | planner's look us |");
+    println!("| groups | sessions with leaders | router state KiB | tick us | request us | piece us | record change us | planning pass us |");
     println!("|---|---|---|---|---|---|---|---|");
     for groups in [100, 500, 2_100] {
         let before = resident_kib();
         let mut bench = Bench::new(groups);
-        let state = resident_kib().saturating_sub(before);
-        let tick = micros(200, || bench.tick());
-        let plain = bench.requests(0);
-        let pieced = bench.requests(PIECES);
-        let change = bench.changes();
-        let look = bench.looks();
+        let state_kib = resident_kib().saturating_sub(before);
+        let tick = mean_us(200, || bench.tick());
+        let without_pieces = bench.time_requests(0);
+        let with_pieces = bench.time_requests(PIECES);
+        let change = bench.time_changes();
+        let pass = bench.time_passes();
         println!(
-            "| {groups} | {} | {state} | {tick:.1} | {plain:.1} | {:.2} | {change:.0} | {look:.0} |",
+            "| {groups} | {} | {state_kib} | {tick:.1} | {without_pieces:.1} | {:.2} | {change:.0} | {pass:.0} |",
             bench.leaders.len(),
-            (pieced - plain) / PIECES as f64,
+            (with_pieces - without_pieces) / PIECES as f64,
         );
     }
 }
@@ -41,51 +41,53 @@
 struct Bench {
     node: Node,
     now: u64,
-    next: u64,
+    last_number: u64,
     groups: usize,
-    /// Leaders in session with their reports.
+    /// Leaders that the router has a session with, and their reports.
     leaders: Vec<(Peer, Report)>,
 }
 
 impl Bench {
     fn new(groups: usize) -> Self {
-        let knobs = RouterKnobs {
-            // Plans are timed apart; proofs need no service here.
+        let params = RouterKnobs {
+            // Planning passes are timed separately, and the proof that the bundle in force is
+            // the newest neither expires nor is renewed.
             plan_ms: 1 << 40,
             proof_ms: 1 << 40,
             prove_ms: 1 << 39,
             request_limit: 1 << 30,
             ..RouterKnobs::default()
         };
-        let state = RouterState::new(InstanceId::new("hall00-e1"), addr(), "hall00", 7, knobs);
+        let state = RouterState::new(InstanceId::new("hall00-e1"), addr(), "hall00", 7, params);
         let mut bench = Self {
             node: Node::Router(Box::new(state)),
             now: 1,
-            next: 0,
+            last_number: 0,
             groups,
             leaders: Vec::new(),
         };
-        let mut effects = bench.feed(Event::Tick);
+        let mut effects = bench.handle(Event::Tick);
         let records = domains(groups);
-        let list = instances(&records, "hall00");
-        effects.extend(bench.feed(Event::List(ListReply::Instances(list))));
-        bench.hold_planner(&effects);
+        let hall_instances = instances(&records, "hall00");
+        effects.extend(bench.handle(Event::List(ListReply::Instances(hall_instances))));
+        bench.hold_planner_lease(&effects);
         bench.answer_reads(effects, &records);
         bench.now += 100;
-        let effects = bench.feed(Event::Tick);
+        let effects = bench.handle(Event::Tick);
         for effect in effects {
             if let Effect::Dial { to, .. } = effect {
-                bench.open(to, &records);
+                bench.open_session(to, &records);
             }
         }
         bench
     }
 
-    fn feed(&mut self, event: Event) -> Vec<Effect> {
+    fn handle(&mut self, event: Event) -> Vec<Effect> {
         step(&mut self.node, self.now, event)
     }
 
-    fn hold_planner(&mut self, _: &[Effect]) {
+    /// Lets the router hold the planner lease for the whole run.
+    fn hold_planner_lease(&mut self, _: &[Effect]) {
         if let Node::Router(state) = &mut self.node {
             state.planner.lease = Some(1);
             state.planner.held_until = u64::MAX;
@@ -94,13 +96,15 @@
         }
     }
 
+    /// Answers the reads of the fleet and of the bundle head among `effects`, and those that
+    /// the answers lead to.
     fn answer_reads(&mut self, effects: Vec<Effect>, records: &[runrail::types::DomainRecord]) {
         let entry = |key: String, value: String| StoreEntry {
             key,
             value,
             revision: 1,
         };
-        let whole = bundle(50, 100, (self.groups / HALLS) as u32);
+        let bundle = bundle(50, 100, (self.groups / HALLS) as u32);
         let head = Head {
             number: 1,
             by: "anna".into(),
@@ -108,26 +112,26 @@
         };
         let head = entry(
             Keys::HEAD.into(),
-            serde_json::to_string(&head).expect("a head"),
+            serde_json::to_string(&head).expect("a head can be serialized"),
         );
-        let mut fleet = vec![
+        let mut fleet_entries = vec![
             head.clone(),
             entry(
                 Keys::bundle(1),
-                serde_json::to_string(&whole).expect("a bundle"),
+                serde_json::to_string(&bundle).expect("a bundle can be serialized"),
             ),
         ];
         for record in records {
-            let text = serde_json::to_string(record).expect("a record");
-            fleet.push(entry(Keys::domain(&record.domain), text));
+            let text = serde_json::to_string(record).expect("a record can be serialized");
+            fleet_entries.push(entry(Keys::domain(&record.domain), text));
         }
-        let mut waiting = effects;
-        while let Some(effect) = waiting.pop() {
+        let mut pending = effects;
+        while let Some(effect) = pending.pop() {
             let Effect::Store { call, op } = effect else {
                 continue;
             };
             let entries = match op {
-                StoreCall::Read { key, .. } if key == Keys::FLEET => fleet.clone(),
+                StoreCall::Read { key, .. } if key == Keys::FLEET => fleet_entries.clone(),
                 StoreCall::Read { key, .. } if key == Keys::HEAD => vec![head.clone()],
                 _ => continue,
             };
@@ -135,12 +139,12 @@
                 revision: 1,
                 entries,
             });
-            waiting.extend(self.feed(Event::Store { call, result }));
+            pending.extend(self.handle(Event::Store { call, result }));
         }
     }
 
     /// Opens the session with a leader and reports its group as open.
-    fn open(&mut self, to: InstanceId, records: &[runrail::types::DomainRecord]) {
+    fn open_session(&mut self, to: InstanceId, records: &[runrail::types::DomainRecord]) {
         let mut groups = records.iter().flat_map(|r| &r.groups);
         let Some(group) = groups.find(|g| g.leader().instance == to) else {
             return;
@@ -173,8 +177,8 @@
             }),
             leaving: false,
         };
-        self.feed(Event::Up(peer.clone()));
-        self.feed(Event::Message {
+        self.handle(Event::Up(peer.clone()));
+        self.handle(Event::Message {
             from: peer.clone(),
             message: Message::Report(Box::new(report.clone())),
         });
@@ -183,21 +187,21 @@
 
     fn tick(&mut self) {
         self.now += Event::TICK_MS;
-        black_box(self.feed(Event::Tick));
+        black_box(self.handle(Event::Tick));
     }
 
-    /// Microseconds of one request with this many pieces.
-    fn requests(&mut self, pieces: u64) -> f64 {
-        micros(REQUESTS as u32, || self.request(pieces))
+    /// Returns the mean time in microseconds of a request whose answer has this many pieces.
+    fn time_requests(&mut self, pieces: u64) -> f64 {
+        mean_us(REQUESTS as u32, || self.request(pieces))
     }
 
     fn request(&mut self, pieces: u64) {
-        self.next += 1;
+        self.last_number += 1;
         let id = RequestId {
             node: 7,
-            number: self.next,
+            number: self.last_number,
         };
-        let effects = self.feed(Event::Request(Box::new(CallerRequest {
+        let effects = self.handle(Event::Request(Box::new(CallerRequest {
             id,
             key_sha256: format!("{:064}", 3),
             model: Arc::from("desk-70b"),
@@ -215,7 +219,7 @@
             } => Some((to, order.run)),
             _ => None,
         });
-        let (to, run): (InstanceId, RunId) = sent.expect("an order");
+        let (to, run): (InstanceId, RunId) = sent.expect("the router sends a run order");
         let from = Peer {
             id: to,
             incarnation: 5,
@@ -227,7 +231,7 @@
                 offset,
                 text: "token".into(),
             };
-            black_box(self.feed(Event::Message {
+            black_box(self.handle(Event::Message {
                 from: from.clone(),
                 message,
             }));
@@ -236,35 +240,36 @@
             status: 200,
             pieces,
         };
-        black_box(self.feed(Event::Message {
+        black_box(self.handle(Event::Message {
             from,
             message: Message::End { run, end },
         }));
     }
 
-    /// Microseconds of one change to a domain's record.
-    fn changes(&mut self) -> f64 {
+    /// Returns the mean time in microseconds of a change to a domain's record.
+    fn time_changes(&mut self) -> f64 {
         let record = domains(self.groups).remove(0);
-        let value = serde_json::to_string(&record).expect("a record");
+        let value = serde_json::to_string(&record).expect("a record can be serialized");
         let mut revision = 10;
-        micros(50, || {
+        mean_us(50, || {
             revision += 1;
             let change = StoreChange {
                 key: Keys::domain(&record.domain),
                 value: Some(value.clone()),
                 revision,
             };
-            black_box(self.feed(Event::Watch(vec![change])));
+            black_box(self.handle(Event::Watch(vec![change])));
         })
     }
 
-    /// Microseconds of one look at the own hall that changes nothing.
-    fn looks(&mut self) -> f64 {
-        micros(20, || {
+    /// Returns the mean time in microseconds of a planning pass over the router's own data hall
+    /// that changes nothing.
+    fn time_passes(&mut self) -> f64 {
+        mean_us(20, || {
             if let Node::Router(state) = &mut self.node {
                 state.planner.plan_at = 0;
             }
-            black_box(self.feed(Event::Tick));
+            black_box(self.handle(Event::Tick));
         })
     }
 }
--- a/benches/capacity/sessions.rs
+++ b/benches/capacity/sessions.rs
@@ -1,4 +1,4 @@
-//! Memory of sessions between processes.
+//! Measures the memory of sessions between processes; both ends are in this process.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 use crate::resident_kib;
 
 pub fn run() {
-    println!("| sessions | both ends KiB | KiB an end |\n|---|---|---|");
+    println!("| sessions | KiB for both ends | KiB per end |\n|---|---|---|");
     for count in [100, 200, 400] {
         let before = resident_kib();
-        let up = Arc::new(AtomicUsize::new(0));
-        let server = start("server", up.clone());
+        let connected = Arc::new(AtomicUsize::new(0));
+        let server = start_net("server", connected.clone());
         let clients: Vec<_> = (0..count)
             .map(|i| {
-                let client = start(&format!("c{i}"), up.clone());
+                let client = start_net(&format!("c{i}"), connected.clone());
                 client.dial(&InstanceId::new("server"), server.addr());
                 client
             })
             .collect();
-        while up.load(Ordering::SeqCst) < 2 * count {
+        while connected.load(Ordering::SeqCst) < 2 * count {
             std::thread::sleep(Duration::from_millis(10));
         }
         let used = resident_kib().saturating_sub(before);
@@ -35,7 +35,7 @@
     }
 }
 
-fn start(name: &str, up: Arc<AtomicUsize>) -> Net {
+fn start_net(name: &str, connected: Arc<AtomicUsize>) -> Net {
     let me = Identity {
         id: InstanceId::new(name),
         incarnation: 1,
@@ -44,8 +44,8 @@
     };
     let net = Net::start(me, NetSettings::default(), move |event| {
         if matches!(event, NetEvent::Up(_)) {
-            up.fetch_add(1, Ordering::SeqCst);
+            connected.fetch_add(1, Ordering::SeqCst);
         }
     });
-    net.expect("a port")
+    net.expect("a free port to listen on")
 }
--- a/benches/capacity/sizes.rs
+++ b/benches/capacity/sizes.rs
@@ -1,4 +1,4 @@
-//! Bytes of records and messages.
+//! Prints the encoded sizes of records and messages.
 
 use std::sync::Arc;
 
@@ -12,60 +12,64 @@
 use crate::fixture::{addr, bundle, domains, group};
 
 pub fn run() {
-    println!("| what | bytes |\n|---|---|");
-    let row = |what: &str, bytes: usize| println!("| {what} | {bytes} |");
-    let json = |v: &dyn Fn() -> String| v().len();
+    println!("| record or message | bytes |\n|---|---|");
+    let print_row = |name: &str, size: usize| println!("| {name} | {size} |");
+    let json_bytes = |text: &dyn Fn() -> String| text().len();
     for size in [4, 8, 16, 32] {
         let record = group("hall01-rack001", 7, size);
-        let text = || serde_json::to_string(&record).expect("a record");
-        row(
+        let text = || serde_json::to_string(&record).expect("a record can be serialized");
+        print_row(
             &format!("group of {size} in its domain's record, JSON"),
-            json(&text),
+            json_bytes(&text),
         );
     }
     for record in domains(8).iter().take(1) {
-        let text = || serde_json::to_string(record).expect("a record");
-        row("domain record with 8 groups of 4, JSON", json(&text));
+        let text = || serde_json::to_string(record).expect("a record can be serialized");
+        print_row("domain record with 8 groups of 4, JSON", json_bytes(&text));
     }
     for (models, accounts) in [(10, 10), (50, 100), (50, 1_000)] {
-        let whole = bundle(models, accounts, 10);
-        let text = || serde_json::to_string(&whole).expect("a bundle");
-        row(
+        let bundle = bundle(models, accounts, 10);
+        let text = || serde_json::to_string(&bundle).expect("a bundle can be serialized");
+        print_row(
             &format!("bundle, {models} models, {accounts} accounts, JSON"),
-            json(&text),
+            json_bytes(&text),
         );
-        let brief = Message::Brief(Brief::of(1, &whole.body));
-        row(
-            &format!("its agents' part, CBOR ({accounts} accounts)"),
-            bytes(&brief),
+        let brief = Message::Brief(Brief::of(1, &bundle.body));
+        print_row(
+            &format!("agents' part of that bundle, CBOR ({accounts} accounts)"),
+            encoded_bytes(&brief),
         );
     }
-    row("lease request, CBOR", bytes(&lease_ask()));
-    row("lease grant, CBOR", bytes(&lease_grant()));
-    row("report of a leader, CBOR", bytes(&report()));
-    row(
+    print_row("lease request, CBOR", encoded_bytes(&lease_ask()));
+    print_row("lease grant, CBOR", encoded_bytes(&lease_grant()));
+    print_row("report of a leader, CBOR", encoded_bytes(&report()));
+    print_row(
         "HeadAsk, CBOR",
-        bytes(&Message::HeadAsk {
+        encoded_bytes(&Message::HeadAsk {
             asked_at: 1 << 30,
             number: 500,
         }),
     );
-    row("HeadReply, CBOR", bytes(&head_reply()));
-    row("run order with an empty body, CBOR", bytes(&run_order()));
-    row(
+    print_row("HeadReply, CBOR", encoded_bytes(&head_reply()));
+    print_row(
+        "run order with an empty body, CBOR",
+        encoded_bytes(&run_order()),
+    );
+    print_row(
         "piece of 5 characters, CBOR",
-        bytes(&Message::Piece {
+        encoded_bytes(&Message::Piece {
             run: run_id(),
             offset: 100,
             text: "token".into(),
         }),
     );
-    let claim = || serde_json::to_string(&claim()).expect("a claim");
-    row("claim, JSON", json(&claim));
+    let claim = || serde_json::to_string(&claim()).expect("a claim can be serialized");
+    print_row("claim, JSON", json_bytes(&claim));
 }
 
-pub fn bytes(message: &Message) -> usize {
-    encode(message).expect("a message").len()
+/// Returns the size of a message in CBOR.
+pub fn encoded_bytes(message: &Message) -> usize {
+    encode(message).expect("a message can be encoded").len()
 }
 
 pub fn run_id() -> RunId {
@@ -108,9 +112,9 @@
 
 pub fn load_report() -> Message {
     let Message::Report(report) = report() else {
-        unreachable!("a report is a report");
+        unreachable!("report() builds Message::Report");
     };
-    let lead = report.lead.expect("a leader's report");
+    let lead = report.lead.expect("report() has a leader's part");
     Message::Load(LoadReport {
         epoch: lead.epoch,
         running: lead.running,
