--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,7 +1,7 @@
-//! Starts a whole small fleet in one process and serves a request.
+//! Starts a small fleet in one process and serves a request.
 //!
-//! Stand-ins take the place of the platform and the engines; the router and
-//! the agents are the real ones, on threads. It stays up until it is stopped.
+//! The platform and the engines are stand-ins from `testkit`. The router and the four agents
+//! are the real ones, on threads of this process. The fleet runs until it is stopped.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 use runrail::types::BundleBody;
 use testkit::{post, Call, Engine, EngineKnobs, Fabric, ListedInstance, Platform};
 
-/// SHA-256 of the caller's key `desk-key`.
+/// SHA-256 of the API key `desk-key`.
 const KEY_SHA256: &str = "fd501e4e4eabb3b62f313e4d323048dfbddebb4d702c7b63512125b3fa21dd28";
 const FLEET_KEY: &[u8] = b"quickstart-key-of-at-least-32-bytes";
 
 fn main() -> Result<(), Box<dyn Error>> {
-    println!("1. stand-ins for the platform and four engines");
+    println!("1. starting stand-ins for the platform and four engines");
     let platform = Platform::start();
     let fabric = Fabric::new();
-    let mut listed = Vec::new();
+    let mut instances = Vec::new();
     let mut agents = Vec::new();
-    println!("2. an agent beside each engine");
+    println!("2. starting an agent for each engine");
     for i in 1..=4 {
         let id = format!("brno1-r1-i{i}");
-        let knobs = EngineKnobs {
+        let params = EngineKnobs {
             piece: Duration::from_millis(60),
             ..EngineKnobs::default()
         };
-        let engine = Engine::start(&id, &fabric, knobs);
+        let engine = Engine::start(&id, &fabric, params);
         let agent = start_agent(&id, &engine)?;
-        listed.push(ListedInstance {
+        instances.push(ListedInstance {
             id,
             hall: "brno1".into(),
             domain: "brno1-r1".into(),
@@ -44,9 +44,9 @@
         });
         agents.push(agent);
     }
-    println!("3. a router on an entry instance");
+    println!("3. starting a router");
     let router = start_router(&platform)?;
-    listed.push(ListedInstance {
+    instances.push(ListedInstance {
         id: "brno1-e1".into(),
         hall: "brno1".into(),
         domain: String::new(),
@@ -54,19 +54,22 @@
         state: "live".into(),
         addr: router.addresses().peers,
     });
-    platform.set_instances(listed);
-    println!("4. a bundle: submitted by anna, approved by ben, rolled");
+    platform.set_instances(instances);
+    println!("4. submitting a bundle as anna, approving it as ben, putting it in force");
     roll_bundle(&router)?;
-    println!("5. the group forms, its members grant their presence, the engines load");
-    let callers = router.addresses().callers.ok_or("no address for callers")?;
+    println!("5. waiting for the group: its members grant presence leases, the engines load");
+    let callers = router
+        .addresses()
+        .callers
+        .ok_or("the router has no listener for callers")?;
     let start = Instant::now();
-    let mut answer = post(callers, &call());
+    let mut answer = post(callers, &chat_call());
     while !answer.is_answered() {
         if start.elapsed() > Duration::from_secs(30) {
-            return Err(format!("no answer: {answer:?}").into());
+            return Err(format!("no complete answer within 30 s: {answer:?}").into());
         }
         std::thread::sleep(Duration::from_millis(100));
-        answer = post(callers, &call());
+        answer = post(callers, &chat_call());
     }
     println!("6. answered in {} pieces: {}", answer.pieces, answer.text);
     println!("\nTry it (Ctrl-C stops the fleet):\n");
@@ -126,11 +129,11 @@
     };
     let start = Instant::now();
     let number = loop {
-        // The router may not have read the platform's service yet.
-        match operate(router, submit())? {
+        // The router may not have read the platform's key-value store yet.
+        match send_operator_call(router, submit())? {
             OperatorReply::Submitted(number) => break number,
             other if start.elapsed() > Duration::from_secs(10) => {
-                return Err(format!("not submitted: {other:?}").into());
+                return Err(format!("bundle not submitted within 10 s: {other:?}").into());
             }
             _ => std::thread::sleep(Duration::from_millis(50)),
         }
@@ -148,9 +151,9 @@
     for step in steps {
         let start = Instant::now();
         loop {
-            match operate(router, step.clone())? {
+            match send_operator_call(router, step.clone())? {
                 OperatorReply::Problem(p) if start.elapsed() > Duration::from_secs(10) => {
-                    return Err(format!("not done: {p:?}").into());
+                    return Err(format!("operator call failed for 10 s: {p:?}").into());
                 }
                 OperatorReply::Problem(_) => std::thread::sleep(Duration::from_millis(50)),
                 _ => break,
@@ -160,13 +163,17 @@
     Ok(())
 }
 
-fn operate(router: &Running, call: OperatorCall) -> Result<OperatorReply, Box<dyn Error>> {
+/// Sends an operator's call to the router and waits for the reply.
+fn send_operator_call(
+    router: &Running,
+    call: OperatorCall,
+) -> Result<OperatorReply, Box<dyn Error>> {
     let (reply, answer) = std::sync::mpsc::channel();
     router.inbox().send(HostEvent::Operator { call, reply });
     Ok(answer.recv_timeout(Duration::from_secs(10))?)
 }
 
-fn call() -> Call {
+fn chat_call() -> Call {
     let body = serde_json::json!({
         "model": "desk",
         "stream": true,
