--- a/src/types/account_spec.rs
+++ b/src/types/account_spec.rs
@@ -8,14 +8,15 @@
 pub struct AccountSpec {
     /// Name used in metrics and logs.
     pub name: Arc<str>,
-    /// SHA-256 of the bearer key, in lower-case hexadecimal.
+    /// SHA-256 of the account's bearer key, in lower-case hexadecimal.
     pub key_sha256: Arc<str>,
     /// Classes the account may use.
     pub classes: Vec<Arc<str>>,
-    /// Share among the accounts of one class; 1 when absent.
+    /// Weight of the account's share of the slots among accounts of the same priority;
+    /// 1 when absent.
     #[serde(default = "one")]
     pub share: u32,
-    /// Most requests in flight at one router.
+    /// Maximum number of the account's requests in flight at one router.
     #[serde(default = "default_limit")]
     pub limit: u32,
 }
--- a/src/types/brief.rs
+++ b/src/types/brief.rs
@@ -6,18 +6,18 @@
 
 /// The part of a bundle that agents need.
 ///
-/// Whole bundles stay at the routers: 2,100 copies of one per change would not
-/// fit the network budget of a node.
+/// Only routers hold whole bundles: sending 2,100 copies of a bundle at each change
+/// would exceed the network budget of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Brief {
     /// Number of the bundle.
     pub number: u64,
-    /// Its classes.
+    /// Classes of the bundle.
     pub classes: Vec<ClassSpec>,
 }
 
 impl Brief {
-    /// Takes the agents' part of a bundle.
+    /// Extracts the part that agents need from a bundle.
     pub fn of(number: u64, body: &BundleBody) -> Self {
         Self {
             number,
--- a/src/types/bundle.rs
+++ b/src/types/bundle.rs
@@ -5,10 +5,10 @@
 /// A submitted bundle: written once, never changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bundle {
-    /// Number given at submission; only grows.
+    /// Number assigned at submission; later bundles have higher numbers.
     pub number: u64,
     /// Operator who submitted it.
     pub author: String,
-    /// What it says.
+    /// Content of the bundle.
     pub body: BundleBody,
 }
--- a/src/types/bundle_body.rs
+++ b/src/types/bundle_body.rs
@@ -2,19 +2,20 @@
 
 use super::{AccountSpec, ClassSpec, Measure, ModelSpec};
 
-/// What operators write: models, classes, client accounts and the measure.
+/// Content of a bundle as operators write it: models, classes, client accounts and
+/// repair weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleBody {
-    /// Title for people.
+    /// Human-readable title.
     pub title: String,
     /// Models and plain services.
     pub models: Vec<ModelSpec>,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<ClassSpec>,
     /// Client accounts.
     pub accounts: Vec<AccountSpec>,
-    /// Weights between group downtime and stranded accelerators.
+    /// Costs of group downtime and of unused instances, weighed when a group is repaired.
     #[serde(default)]
     pub measure: Measure,
 }
--- a/src/types/bundle_fault.rs
+++ b/src/types/bundle_fault.rs
@@ -3,22 +3,22 @@
 
 use super::{BundleBody, ClassSpec, ModelKind, ModelSpec, MAX_INSTANCES, MIN_INSTANCES};
 
-/// Length of a SHA-256 in hexadecimal.
-const KEY_HEX: usize = 64;
+/// Length of a SHA-256 hash in hexadecimal.
+const KEY_HEX_DIGITS: usize = 64;
 
-/// One fault of a bundle: where it is, what was found, what was expected.
+/// One error in a bundle: where it is, what was found, what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BundleFault {
-    /// Place in the document, such as `models[0].instances`.
+    /// Path of the value in the document, such as `models[0].instances`.
     pub place: String,
-    /// What stands there.
+    /// Value that was found.
     pub found: String,
-    /// What may stand there.
+    /// Description of the values that are allowed.
     pub expected: String,
 }
 
 impl BundleFault {
-    /// Lists every fault of a bundle; an empty list means it may be accepted.
+    /// Validates a bundle and returns all errors; a bundle without errors may be submitted.
     pub fn find_all(body: &BundleBody) -> Vec<BundleFault> {
         let mut faults = Vec::new();
         if body.models.is_empty() {
@@ -31,13 +31,13 @@
             check_class(&format!("classes[{i}]"), c, &mut faults);
         }
         check_accounts(body, &mut faults);
-        unique("models", body.models.iter().map(|m| &*m.name), &mut faults);
-        unique(
+        check_unique("models", body.models.iter().map(|m| &*m.name), &mut faults);
+        check_unique(
             "classes",
             body.classes.iter().map(|c| &*c.name),
             &mut faults,
         );
-        unique(
+        check_unique(
             "accounts",
             body.accounts.iter().map(|a| &*a.name),
             &mut faults,
@@ -66,12 +66,12 @@
 
 fn check_model(place: &str, m: &ModelSpec, faults: &mut Vec<BundleFault>) {
     check_name(&format!("{place}.name"), &m.name, faults);
-    let (low, high) = match m.kind {
+    let (min, max) = match m.kind {
         ModelKind::Engine => (MIN_INSTANCES, MAX_INSTANCES),
         ModelKind::Service => (1, 1),
     };
-    if m.instances < low || m.instances > high {
-        let expected = format!("{low} to {high}");
+    if m.instances < min || m.instances > max {
+        let expected = format!("{min} to {max}");
         faults.push(fault(&format!("{place}.instances"), m.instances, expected));
     }
     if m.floor > m.per_hall {
@@ -99,11 +99,11 @@
     for (i, a) in body.accounts.iter().enumerate() {
         let place = format!("accounts[{i}]");
         check_name(&format!("{place}.name"), &a.name, faults);
-        let hex = a.key_sha256.len() == KEY_HEX
+        let is_hash = a.key_sha256.len() == KEY_HEX_DIGITS
             && a.key_sha256
                 .chars()
                 .all(|c| matches!(c, '0'..='9' | 'a'..='f'));
-        if !hex {
+        if !is_hash {
             let found = format!("{} characters", a.key_sha256.len());
             let expected = "64 lower-case hexadecimal digits";
             faults.push(fault(&format!("{place}.key_sha256"), found, expected));
@@ -125,14 +125,18 @@
 }
 
 fn check_name(place: &str, name: &str, faults: &mut Vec<BundleFault>) {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if name.is_empty() || name.len() > 64 || !name.chars().all(is_allowed) {
         let expected = "1 to 64 letters, digits, '-', '_' or '.'";
         faults.push(fault(place, format!("{name:?}"), expected));
     }
 }
 
-fn unique<'a>(list: &str, names: impl Iterator<Item = &'a str>, faults: &mut Vec<BundleFault>) {
+fn check_unique<'a>(
+    list: &str,
+    names: impl Iterator<Item = &'a str>,
+    faults: &mut Vec<BundleFault>,
+) {
     let mut seen = BTreeSet::new();
     for (i, name) in names.enumerate() {
         if !seen.insert(name) {
--- a/src/types/caller_limits.rs
+++ b/src/types/caller_limits.rs
@@ -1,15 +1,15 @@
 use super::Millis;
 
-/// What a caller may send, and how long it may take or rest.
+/// Limits on the size and timing of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Maximum time for receiving a request's head, in milliseconds.
     pub header_ms: Millis,
-    /// Longest rest of a connection.
+    /// Maximum time that a connection may stay idle, in milliseconds.
     pub idle_ms: Millis,
 }
 
--- a/src/types/class_spec.rs
+++ b/src/types/class_spec.rs
@@ -4,24 +4,24 @@
 
 use super::Millis;
 
-/// One class of requests: how urgent it is and what may be done with it.
+/// One class of requests: its priority, and whether its requests may be paused or repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Name that callers give in `Runrail-Class`.
+    /// Name that callers send in the `Runrail-Class` header.
     pub name: Arc<str>,
-    /// 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Slots of each group that no less urgent class may take.
+    /// Slots of each group that less urgent classes may not use.
     #[serde(default)]
     pub reserved: u32,
-    /// Whether running work may be paused for a more urgent class.
+    /// Whether a running request may be paused for one of a more urgent class.
     #[serde(default)]
     pub preempt: bool,
-    /// Whether a request may be run again when its outcome is unknown.
+    /// Whether a request whose outcome is unknown may be run again.
     #[serde(default = "yes")]
     pub repeat: bool,
-    /// Deadline for callers that give none, in milliseconds.
+    /// Deadline of requests for which the caller gives none, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Millis,
 }
--- a/src/types/endpoint_entry.rs
+++ b/src/types/endpoint_entry.rs
@@ -5,51 +5,53 @@
 
 use super::{GroupSeat, SeatState};
 
-/// One endpoint as the platform's list shows it.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// Data hall.
     pub hall: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is about to be stopped or replaced.
     pub leaving: bool,
-    /// When this life of the endpoint began, in Unix milliseconds; absent where the
-    /// platform doesn't tell.
+    /// Time at which the endpoint last started, in Unix milliseconds; absent where the
+    /// platform doesn't report it.
     pub born: Option<u64>,
-    /// Heartbeats so far in this life.
+    /// Number of heartbeats since the endpoint last started.
     pub beats: u64,
     /// Fabric domain; empty for a plain service.
     pub domain: Arc<str>,
-    /// Models whose weights lie on its host.
+    /// Models whose weights are staged on its host.
     pub staged: Vec<Arc<str>>,
-    /// Model that it holds.
+    /// Model that its engine holds.
     pub model: Option<Arc<str>>,
-    /// Its place in a group.
+    /// Its membership in a group.
     pub seat: Option<GroupSeat>,
 }
 
 impl EndpointEntry {
-    /// Whether this entry was written before another one of the same endpoint. Without a
-    /// time of birth the count of heartbeats may have begun anew and tells nothing.
+    /// Whether this entry was written before another entry of the same endpoint.
+    ///
+    /// Heartbeats are compared only if both entries have the same start time: without one,
+    /// the count may have restarted from zero.
     pub fn precedes(&self, other: &Self) -> bool {
-        let same_life = self.born.is_some() && self.born == other.born;
-        self.born < other.born || (same_life && self.beats < other.beats)
+        let same_start = self.born.is_some() && self.born == other.born;
+        self.born < other.born || (same_start && self.beats < other.beats)
     }
 
-    /// Whether this entry is of a later life than another one of the same endpoint.
+    /// Whether the endpoint has restarted between another entry of it and this one.
     pub fn restarts(&self, other: &Self) -> bool {
-        let lives = other.born.zip(self.born);
-        lives.is_some_and(|(before, now)| now > before)
+        let starts = other.born.zip(self.born);
+        starts.is_some_and(|(before, now)| now > before)
     }
 
-    /// Epoch of the group that it takes requests for; absent where it heads none.
+    /// Epoch of the open group that the endpoint is the head of, if any.
     pub fn open_epoch(&self) -> Option<u64> {
-        let open = |s: &&GroupSeat| s.rank == 0 && s.state == SeatState::Open;
-        self.seat.as_ref().filter(open).map(|s| s.epoch)
+        let is_open_head = |s: &&GroupSeat| s.rank == 0 && s.state == SeatState::Open;
+        self.seat.as_ref().filter(is_open_head).map(|s| s.epoch)
     }
 }
--- a/src/types/engine_model.rs
+++ b/src/types/engine_model.rs
@@ -2,19 +2,19 @@
 
 use super::Millis;
 
-/// One model of a service's engines.
+/// One model that the engines of a service can load.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EngineModel {
-    /// Name.
+    /// Name of the model.
     pub name: Arc<str>,
-    /// Instances of one group.
+    /// Number of instances in a group that serves the model.
     pub size: usize,
-    /// Factor on all times, in thousandths.
+    /// Factor on the engine's prompt and step times, per mille; higher is slower.
     pub pace: u64,
-    /// Part of the work at the start, in thousandths.
+    /// Expected initial share of the service's work, per mille.
     pub share: u64,
-    /// Time to load from the weight store.
+    /// Time to load the model from the weight store, in milliseconds.
     pub load_ms: Millis,
-    /// Time to load from the host.
+    /// Time to load the model when its weights are staged on the host, in milliseconds.
     pub warm_ms: Millis,
 }
--- a/src/types/engine_spec.rs
+++ b/src/types/engine_spec.rs
@@ -1,31 +1,31 @@
 use super::{EngineModel, Millis};
 
-/// How the engines of a service work, as their operators publish it.
+/// Performance parameters of a service's engines, as their operators publish them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EngineSpec {
-    /// Requests that run at once in one group.
+    /// Number of requests that a group runs concurrently.
     pub slots: u32,
-    /// Token steps of one pass.
+    /// Number of token steps in one pass of the engine.
     pub stride: u32,
-    /// One token step, in microseconds.
+    /// Duration of a token step, in microseconds.
     pub step_us: u64,
-    /// What each writing request adds to a step, in nanoseconds.
+    /// Time that each request which generates tokens adds to a step, in nanoseconds.
     pub per_request_ns: u64,
-    /// Prompt tokens read in a second.
+    /// Prompt processing rate, in tokens per second.
     pub read_rate: u64,
-    /// Usual prompt, in tokens.
+    /// Mean prompt length, in tokens.
     pub usual_prompt: u32,
-    /// Usual answer, in tokens.
+    /// Mean answer length, in tokens.
     pub usual_answer: u32,
-    /// Loads from the weight store that may begin in 1,000 seconds.
+    /// Maximum rate of loads from the weight store, in loads per 1,000 seconds.
     pub load_rate: u64,
-    /// Loads at once at full speed.
+    /// Number of loads from the weight store that can run concurrently at full speed.
     pub loads_at_once: u32,
-    /// Models that a host keeps.
+    /// Number of models that a host keeps staged besides the one that is loaded.
     pub keeps: u32,
-    /// Time from the order to open until a group serves.
+    /// Time from the order to open a group until it serves, in milliseconds.
     pub form_ms: Millis,
-    /// Models that groups serve.
+    /// Models that groups can serve.
     pub models: Vec<EngineModel>,
 }
 
--- a/src/types/figure_gap.rs
+++ b/src/types/figure_gap.rs
@@ -1,13 +1,13 @@
 use std::fmt;
 
-/// A figure that the operators' document doesn't tell, and what stands in for it.
+/// A value that the operators' document lacks, and the default used instead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FigureGap {
-    /// Where it belongs in the document.
+    /// Path of the value in the document.
     pub place: String,
-    /// What was found there.
+    /// What was found at that path.
     pub found: String,
-    /// What is used in its place.
+    /// Value that is used instead.
     pub used: String,
 }
 
--- a/src/types/group_id.rs
+++ b/src/types/group_id.rs
@@ -3,12 +3,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Names one group for its whole life; a repaired group keeps its id.
+/// Identifies a group from its formation to its end; a repaired group keeps its id.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupId {
-    /// Fabric domain that holds every member.
+    /// Fabric domain of all members.
     pub domain: Arc<str>,
-    /// Number within the domain, never used twice.
+    /// Number within the domain; never reused.
     pub number: u64,
 }
 
--- a/src/types/group_record.rs
+++ b/src/types/group_record.rs
@@ -4,39 +4,40 @@
 
 use super::{GroupId, GroupRole, InstanceId, Member, Millis, ModelKind, Phase};
 
-/// What is decided about one group: who its members are and what they serve.
+/// Planned state of a group: its members and what they serve.
 ///
-/// Kept inside its [`DomainRecord`](super::DomainRecord), which is one value in
-/// the platform's key-value service.
+/// It is stored as part of its [`DomainRecord`](super::DomainRecord), which is one value
+/// in the platform's key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// Stable id.
+    /// Id of the group.
     pub id: GroupId,
-    /// Grows with every change of members, model or version; the fence of all orders.
+    /// Increases with every change of members, model or version; the fencing token of all
+    /// orders.
     pub epoch: u64,
-    /// Members in rank order; member 0 leads.
+    /// Members in rank order; member 0 is the leader.
     pub members: Vec<Member>,
-    /// Model name in the bundle.
+    /// Name of the model or plain service, as in the bundle.
     pub model: Arc<str>,
-    /// Model version.
+    /// Version of the model.
     pub version: Arc<str>,
     /// Engine or plain service.
     pub kind: ModelKind,
-    /// Role passed to engines.
+    /// Role that is passed to the engines.
     pub role: GroupRole,
     /// Adapters to load.
     pub adapters: Vec<String>,
     /// Expected time to load the weights, in milliseconds.
     pub load_ms: Millis,
-    /// Whether new work may be admitted.
+    /// Whether the group may accept new requests.
     pub phase: Phase,
 }
 
 impl GroupRecord {
-    /// The instance whose agent leads the group.
+    /// The member whose agent leads the group.
     ///
     /// # Panics
-    /// Never for a stored record: a record without members isn't written.
+    /// Panics if the record has no members; such a record is never stored.
     pub fn leader(&self) -> &Member {
         &self.members[0]
     }
--- a/src/types/group_role.rs
+++ b/src/types/group_role.rs
@@ -1,16 +1,16 @@
 use serde::{Deserialize, Serialize};
 
-/// What a group does for its model; passed on to engines with the load order.
+/// Which part of a model's work a group does; passed to the engines with the load order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum GroupRole {
-    /// Prompts and generation in one group.
+    /// Prompt processing and token generation.
     #[default]
     Mixed,
-    /// Prompts only.
+    /// Prompt processing only.
     Prefill,
-    /// Generation only.
+    /// Token generation only.
     Decode,
 }
--- a/src/types/group_seat.rs
+++ b/src/types/group_seat.rs
@@ -4,15 +4,15 @@
 
 use super::SeatState;
 
-/// An instance's place in a group, as its engine tells it.
+/// An instance's membership in a group, as its engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupSeat {
     /// Name of the group.
     pub group: Arc<str>,
-    /// Epoch under which it was joined.
+    /// Epoch at which the instance joined the group.
     pub epoch: u64,
-    /// Place among the members; the member at 0 is the head.
+    /// Rank among the members; the member of rank 0 is the head.
     pub rank: usize,
-    /// How far it is.
+    /// State of the membership.
     pub state: SeatState,
 }
--- a/src/types/head.rs
+++ b/src/types/head.rs
@@ -1,12 +1,13 @@
 use serde::{Deserialize, Serialize};
 
-/// Which bundle is in force; its number only grows.
+/// Record of the bundle in force; its number only increases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Head {
     /// Number of the bundle in force; 0 before the first.
     pub number: u64,
-    /// Operator who rolled it.
+    /// Operator who put it in force.
     pub by: String,
-    /// Nonce of the write, by which a lost answer is settled.
+    /// Random number of the write: a router whose write got no answer recognizes its own
+    /// record by it.
     pub nonce: u64,
 }
--- a/src/types/instance.rs
+++ b/src/types/instance.rs
@@ -5,20 +5,20 @@
 
 use super::{InstanceId, InstanceState};
 
-/// One row of the platform's instance list.
+/// One entry of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// The instance's name.
+    /// Name of the instance.
     pub id: InstanceId,
     /// Data hall.
     pub hall: Arc<str>,
     /// Fabric domain; empty for an entry instance.
     pub domain: Arc<str>,
-    /// Model engine, `service:<name>` or `router`.
+    /// What runs on the instance: `engine`, `service:<name>` or `router`.
     pub kind: Arc<str>,
-    /// Live or leaving.
+    /// State in the platform's list.
     pub state: InstanceState,
-    /// Address of the process of this system on the instance.
+    /// Address of the router or agent on the instance.
     pub addr: SocketAddr,
 }
 
@@ -28,12 +28,12 @@
     /// Value of [`Instance::kind`] for a model engine.
     pub const ENGINE: &'static str = "engine";
 
-    /// Whether a router runs here.
+    /// Whether a router runs on the instance.
     pub fn is_router(&self) -> bool {
         &*self.kind == Self::ROUTER
     }
 
-    /// Whether new work may be planned for this instance.
+    /// Whether groups may be planned on the instance.
     pub fn is_live(&self) -> bool {
         self.state == InstanceState::Live
     }
--- a/src/types/instance_id.rs
+++ b/src/types/instance_id.rs
@@ -3,19 +3,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Name of one instance, as the platform's instance list gives it.
+/// Name of an instance, as in the platform's instance list.
 ///
-/// Cheap to clone. An entry instance that runs a router has one as well.
+/// Cheap to clone. Entry instances, which run routers, have one as well.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct InstanceId(Arc<str>);
 
 impl InstanceId {
-    /// Wraps a name.
+    /// Creates an id from a name.
     pub fn new(name: &str) -> Self {
         Self(Arc::from(name))
     }
 
-    /// The name as text.
+    /// The name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/src/types/keyed_account.rs
+++ b/src/types/keyed_account.rs
@@ -1,10 +1,10 @@
 use std::sync::Arc;
 
-/// A client account as routes know it: by its keys.
+/// A client account of the operators' document, which is looked up by its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyedAccount {
-    /// Name; endpoints are told it in place of the key.
+    /// Name; it is sent to endpoints instead of the key.
     pub name: Arc<str>,
-    /// Rank that goes before the route's; 0 comes first.
+    /// Priority that overrides that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
 }
--- a/src/types/measure.rs
+++ b/src/types/measure.rs
@@ -1,12 +1,12 @@
 use serde::{Deserialize, Serialize};
 
-/// The operators' weights between the two measures of a fleet.
+/// Costs that operators assign to group downtime and to unused instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Measure {
-    /// Cost of a group being down for a second.
+    /// Cost per second that a group is down, for a group of value 1.
     pub downtime: u32,
-    /// Cost of one healthy instance outside any working group for a second.
+    /// Cost per second that a healthy instance belongs to no working group.
     pub stranded: u32,
 }
 
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,6 +1,6 @@
-//! Vocabulary shared by every other module: ids, records and bundles.
+//! Types shared by all other modules: ids, records and bundles.
 //!
-//! Nothing here decides anything; see [`crate::logic`] for decisions.
+//! They hold data and check it; decisions are made in [`crate::logic`].
 
 mod account_spec;
 mod approval;
@@ -76,5 +76,6 @@
 
 /// Milliseconds on the monotonic clock of one process.
 ///
-/// Values of two processes can't be compared; only durations cross the wire.
+/// Values of different processes can't be compared: messages carry durations, or echo a
+/// value to the process that it came from.
 pub type Millis = u64;
--- a/src/types/model_kind.rs
+++ b/src/types/model_kind.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// The kind of endpoint a group consists of.
+/// Kind of the endpoints in a group.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -9,6 +9,6 @@
     /// A model engine that spans several instances.
     #[default]
     Engine,
-    /// A plain service; a group is a single instance.
+    /// A plain service; each group is a single instance.
     Service,
 }
--- a/src/types/model_spec.rs
+++ b/src/types/model_spec.rs
@@ -4,16 +4,16 @@
 
 use super::{GroupRole, Millis, ModelKind};
 
-/// Fewest instances of an engine group.
+/// Minimum number of instances in an engine group.
 pub const MIN_INSTANCES: u32 = 4;
-/// Most instances of an engine group.
+/// Maximum number of instances in an engine group.
 pub const MAX_INSTANCES: u32 = 32;
 
-/// One model or plain service: which groups are wanted.
+/// One model or plain service, and the groups that are wanted for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Name that callers give.
+    /// Name that callers request.
     pub name: Arc<str>,
     /// Version of the weights.
     pub version: Arc<str>,
@@ -23,17 +23,18 @@
     /// Role of its groups.
     #[serde(default)]
     pub role: GroupRole,
-    /// Adapters loaded beside the model.
+    /// Adapters that are loaded with the model.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Instances of one group.
+    /// Number of instances in a group.
     pub instances: u32,
-    /// Groups wanted in each data hall.
+    /// Number of groups wanted in each data hall.
     pub per_hall: u32,
-    /// Groups of a hall that stay open while a new version is rolled.
+    /// Minimum number of groups per data hall that stay open while a new version is
+    /// rolled out.
     #[serde(default)]
     pub floor: u32,
-    /// Worth of one open group; a less worthy group may be given up for it.
+    /// Value of an open group; a group of lower value may be dissolved to repair it.
     #[serde(default = "default_value")]
     pub value: u32,
     /// Expected time to load the weights, in milliseconds.
--- a/src/types/phase.rs
+++ b/src/types/phase.rs
@@ -1,11 +1,11 @@
 use serde::{Deserialize, Serialize};
 
-/// How far a group is in its planned life; it only moves forward within one epoch.
+/// Planned phase of a group; within one epoch it only moves forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// May take new work.
+    /// The group may accept new requests.
     Serving,
-    /// Takes no new work and finishes what it has.
+    /// The group accepts no new requests and finishes those it has.
     Draining,
 }
--- a/src/types/request_id.rs
+++ b/src/types/request_id.rs
@@ -2,14 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one request at the router that took it, across its attempts.
+/// Identifies a request across all its attempts.
 ///
-/// `node` is the router's incarnation, so two routers never share an id.
+/// `node` is the incarnation of the router that accepted it, a random number, so that ids
+/// of different routers differ.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
     /// Incarnation of the router that accepted the request.
     pub node: u64,
-    /// Counter within that incarnation.
+    /// Sequence number within that incarnation.
     pub number: u64,
 }
 
--- a/src/types/request_rate.rs
+++ b/src/types/request_rate.rs
@@ -2,20 +2,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second.
+/// A rate of requests per second, with a resolution of one thousandth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate {
-    /// In thousandths.
+    /// Requests per 1,000 seconds.
     milli: u64,
 }
 
 impl RequestRate {
-    /// A rate of thousandths of a request a second.
+    /// Creates a rate from thousandths of a request per second.
     pub fn from_milli(milli: u64) -> Self {
         Self { milli }
     }
 
-    /// Thousandths of a request a second.
+    /// The rate in thousandths of a request per second.
     pub fn milli(self) -> u64 {
         self.milli
     }
--- a/src/types/route_kind.rs
+++ b/src/types/route_kind.rs
@@ -1,10 +1,10 @@
-/// What may be done twice on a route.
+/// Whether requests of a route may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
     /// A request may run more than once.
     Safe,
-    /// A request runs at most once.
+    /// A request must run at most once.
     Unsafe,
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Streaming,
 }
--- a/src/types/route_spec.rs
+++ b/src/types/route_spec.rs
@@ -2,35 +2,37 @@
 
 use super::{Millis, RouteKind};
 
-/// One route: which requests it takes and how they are served.
+/// One route: which requests it matches and how they are served.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RouteSpec {
     /// Name, for logs.
     pub name: Arc<str>,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; it begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and how they are answered.
     pub kind: RouteKind,
-    /// Whether a broken stream may be taken up at another endpoint.
+    /// Whether an interrupted stream may be resumed at another endpoint.
     pub resumable: bool,
-    /// Longest time that a request is held.
+    /// Deadline of requests, counted from their arrival, in milliseconds; a caller may ask
+    /// for an earlier one.
     pub timeout_ms: Millis,
-    /// Time within which an answer, or the first event of a stream, is wanted.
+    /// Target time to an answer or to the first event of a stream, in milliseconds.
     pub target_ms: Millis,
-    /// Longest wanted pause between events of a stream.
+    /// Target for the longest pause between two events of a stream, in milliseconds.
     pub gap_ms: Millis,
-    /// Most endpoints that one request may run at.
+    /// Maximum number of runs of one request, not counting sends that are known not to have
+    /// run.
     pub attempts: u32,
-    /// Rank; 0 comes first.
+    /// Priority of requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers may use the route without a key.
     pub open: bool,
-    /// Services with their weights; at least one.
+    /// Services that requests are distributed to, with their weights; at least one.
     pub split: Vec<(Arc<str>, u32)>,
 }
 
 impl RouteSpec {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run may be sent again.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -39,15 +41,16 @@
         }
     }
 
-    /// The service for a request, by its place among the weights.
+    /// Selects the service for a request: `draw`, a random number, selects each service
+    /// with a chance in proportion to its weight. `None` if all weights are 0.
     pub fn service(&self, draw: u64) -> Option<&Arc<str>> {
-        let whole: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut place = draw.checked_rem(whole)?;
+        let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
+        let mut rest = draw.checked_rem(total)?;
         for (service, weight) in &self.split {
-            if place < u64::from(*weight) {
+            if rest < u64::from(*weight) {
                 return Some(service);
             }
-            place -= u64::from(*weight);
+            rest -= u64::from(*weight);
         }
         None
     }
--- a/src/types/seat_state.rs
+++ b/src/types/seat_state.rs
@@ -1,15 +1,15 @@
 use serde::{Deserialize, Serialize};
 
-/// How far an instance is with its place in a group.
+/// State of an instance's membership in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SeatState {
-    /// It loads.
+    /// The instance loads the model.
     Joining,
-    /// It has loaded; the group isn't open.
+    /// The instance has loaded the model; the group isn't open yet.
     Ready,
-    /// The group takes requests.
+    /// The group accepts requests.
     Open,
-    /// The group takes none and finishes what it has.
+    /// The group accepts no new requests and finishes those it has.
     Closing,
     /// The group has lost a member.
     Broken,
--- a/src/types/service_spec.rs
+++ b/src/types/service_spec.rs
@@ -2,13 +2,13 @@
 
 use super::EngineSpec;
 
-/// One service that routes lead to.
+/// One service that requests are routed to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Most connections that one endpoint takes from all callers together.
+    /// Maximum number of connections that one endpoint accepts from all clients together.
     pub connections: u32,
-    /// Its engine; absent for a plain service.
+    /// Parameters of its engines; absent for a plain service.
     pub engine: Option<EngineSpec>,
 }
--- a/src/types/store_position.rs
+++ b/src/types/store_position.rs
@@ -1,27 +1,29 @@
 use serde::{Deserialize, Serialize};
 
-/// A point in the changes of the key-value service.
+/// A position in the sequence of changes of the key-value service.
 ///
-/// A service that comes back from an older copy gives revisions out again, and its era
-/// rises. Positions are ordered by era first, so that a later one is never the lower.
+/// After the service was restored from a backup it assigns revisions a second time, in a
+/// higher era. Positions are ordered by era first, so that a later one is always higher.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// How often the service has come back from a copy; 0 where it doesn't tell.
+    /// Number of times the service was restored from a backup; 0 where it doesn't report it.
     pub era: u64,
     /// Revision within that era.
     pub revision: i64,
 }
 
-/// Most revisions that a copy may be behind: 4 hours of 1,000 writes a second. Small enough
-/// that numbers derived from fences stay exact where they are read as floating point.
-const REVISIONS_LOST: u64 = 1 << 24;
+/// Maximum number of revisions that a restore may undo: 4 hours at 1,000 writes a second. It
+/// is low enough that numbers derived from fences stay exact where they are read as floating
+/// point.
+const MAX_LOST_REVISIONS: u64 = 1 << 24;
 
 impl StorePosition {
-    /// A number that rises with positions, for those who compare plain numbers.
+    /// The position as a single number that increases with positions, to fence writes and
+    /// orders.
     pub fn fence(self) -> u64 {
         let revision = u64::try_from(self.revision).unwrap_or(0);
-        self.era * REVISIONS_LOST + revision
+        self.era * MAX_LOST_REVISIONS + revision
     }
 }
