--- a/src/message/attempt_end.rs
+++ b/src/message/attempt_end.rs
@@ -2,18 +2,18 @@
 
 use super::Refusal;
 
-/// How an attempt ended, as the agent knows it.
+/// How an attempt ended, as far as the agent knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The endpoint answered in full; `pieces` counts from the request's start.
+    /// The endpoint sent a complete answer.
     Complete {
-        /// HTTP status of the endpoint.
+        /// HTTP status of the endpoint's answer.
         status: u16,
-        /// Offset behind the last piece.
+        /// Number of pieces of the whole answer, including those of earlier attempts.
         pieces: u64,
     },
-    /// It didn't run.
+    /// The attempt did not run.
     Refused(Refusal),
-    /// It was handed over and its outcome isn't known.
+    /// The attempt may have run, and its outcome is unknown.
     Broken,
 }
--- a/src/message/claim_key.rs
+++ b/src/message/claim_key.rs
@@ -3,20 +3,22 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of the hash that are kept; 128 bits make a collision negligible.
+/// Length of a key in bytes; at 128 bits collisions are negligible.
 const KEY_BYTES: usize = 16;
 
-/// Names one request that may not be repeated: a hash of account and caller's key.
+/// Key of the claim on a request that may not be repeated: a hash of the client account
+/// and its idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey([u8; KEY_BYTES]);
 
 impl ClaimKey {
-    /// Hashes a client account's name and the `Idempotency-Key` it sent.
+    /// Hashes the name of a client account and the `Idempotency-Key` header it sent.
     pub fn new(account: &str, key: &str) -> Self {
         Self::of_parts(&[account.as_bytes(), key.as_bytes()])
     }
 
-    /// Hashes a request's content, to notice a key that is used for another one.
+    /// Hashes the content of a request, to detect that an idempotency key is reused for
+    /// another request.
     pub fn of_content(model: &str, path: &str, body: &str) -> Self {
         Self::of_parts(&[model.as_bytes(), path.as_bytes(), body.as_bytes()])
     }
--- a/src/message/claim_verdict.rs
+++ b/src/message/claim_verdict.rs
@@ -2,18 +2,19 @@
 
 use super::ClaimRecord;
 
-/// What became of a [`ClaimWrite`](super::ClaimWrite).
+/// Result of a [`ClaimWrite`](super::ClaimWrite).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// Written at this revision.
+    /// The claim was written at this revision.
     Taken(i64),
-    /// Not written: this is what stands; no record where there is no claim.
+    /// The claim was not written: it, or another claim of the same transaction, was changed
+    /// before.
     Stands {
-        /// Revision of the claim; 0 where there is none.
+        /// Revision of the stored claim; 0 if there is none.
         revision: i64,
-        /// The claim.
+        /// The stored claim, if there is one.
         record: Option<ClaimRecord>,
     },
-    /// It may or may not have been written.
+    /// The claim may or may not have been written.
     Unknown,
 }
--- a/src/message/claim_write.rs
+++ b/src/message/claim_write.rs
@@ -3,15 +3,15 @@
 use super::{ClaimKey, ClaimRecord};
 use crate::types::RequestId;
 
-/// One claim to write by compare-and-swap.
+/// A claim that is to be written by compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimWrite {
-    /// Request that wants it.
+    /// Request that the claim is written for.
     pub request: RequestId,
-    /// Its key.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Revision that the claim must have; 0 for none.
+    /// Expected revision of the stored claim; 0 if there must be none.
     pub revision: i64,
-    /// The claim.
+    /// The claim to write.
     pub record: ClaimRecord,
 }
--- a/src/message/class_load.rs
+++ b/src/message/class_load.rs
@@ -2,21 +2,21 @@
 
 use crate::types::Millis;
 
-/// Load of one priority at a group, as its leader expects it.
+/// Load of a group by requests of one priority, as its leader estimates it.
 ///
-/// It is sent often, so its fields have short names on the wire.
+/// Its fields have short names on the wire because it is sent often.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClassLoad {
-    /// The priority.
+    /// Priority that the load is of.
     #[serde(rename = "p")]
     pub priority: u8,
-    /// Requests waiting.
+    /// Number of requests that wait.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// Time until one more would start, in milliseconds.
+    /// Estimated time until a new request would start, in milliseconds.
     #[serde(rename = "w")]
     pub wait_ms: Millis,
-    /// Mean time of a run, in milliseconds; 0 before the first.
+    /// Mean duration of a run, in milliseconds; 0 before the first run has ended.
     #[serde(rename = "m")]
     pub mean_ms: Millis,
 }
--- a/src/message/lead_report.rs
+++ b/src/message/lead_report.rs
@@ -3,28 +3,28 @@
 use super::ClassLoad;
 use crate::types::{GroupId, InstanceId, Phase};
 
-/// State of a group as its leader sees it.
+/// State of a group as its leader reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeadReport {
-    /// The group.
+    /// Group that is led.
     pub group: GroupId,
-    /// Its epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// Whether the leader takes new work now.
+    /// Whether the group accepts new requests.
     pub open: bool,
-    /// Planned phase.
+    /// Phase of the group.
     pub phase: Phase,
-    /// Members whose lease the leader doesn't hold.
+    /// Members whose presence lease the leader doesn't hold.
     pub missing: Vec<InstanceId>,
     /// Members that are leaving.
     pub leaving: Vec<InstanceId>,
     /// Members whose endpoint failed to load.
     pub failed: Vec<InstanceId>,
-    /// Whether every member has loaded.
+    /// Whether the endpoints of all members have loaded.
     pub ready: bool,
-    /// Requests the engine runs at once.
+    /// Number of requests that the group can run concurrently.
     pub slots: u32,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
     /// Load by priority, most urgent first, for each class of the agent's bundle.
     pub loads: Vec<ClassLoad>,
--- a/src/message/message_kind.rs
+++ b/src/message/message_kind.rs
@@ -6,73 +6,75 @@
 };
 use crate::types::{Brief, GroupId, GroupRecord, Millis};
 
-/// Every message between processes of the system.
+/// A message between processes of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Router to leader: lead this group.
     Assign(Box<GroupRecord>),
-    /// Router to leader: the group has left its domain's record; drain and give it up.
+    /// Router to leader: the group was removed from its domain's record; drain it and then
+    /// stop leading it.
     Release {
-        /// The group.
+        /// Group that was removed.
         group: GroupId,
-        /// Highest epoch that is released.
+        /// Highest epoch of the group that is released.
         epoch: u64,
     },
     /// Router to agent: the platform lists this instance as leaving.
     Leave,
-    /// Router to agent, leader to member: a newer bundle.
+    /// Router to agent, leader to member: the agents' part of a newer bundle.
     Brief(Brief),
     /// Router to leader: run an attempt.
     Run(Box<RunOrder>),
-    /// Router to leader: stop an attempt, or never start it.
+    /// Router to leader: cancel an attempt. A running request that may not be repeated is
+    /// not stopped.
     Cancel(RunId),
-    /// Router to agent: what became of this claimed key?
+    /// Router to agent: request for the state of a claimed key.
     Query {
-        /// Attempt of the asking router, to which pieces shall go.
+        /// Attempt of the querying router, which pieces of the answer are sent for.
         run: RunId,
-        /// The claim: its key, its attempt, how long the answer must stay true.
+        /// Key and attempt of the claim, and how long the agent has to remember its reply.
         once: Once,
         /// Incarnation stored in the claim.
         incarnation: u64,
-        /// Whether an attempt that hasn't been seen shall be barred from starting.
+        /// Whether an attempt that the agent hasn't seen is to be barred from starting.
         bar: bool,
     },
-    /// Agent to router: answer to a query.
+    /// Agent to router: reply to a query.
     Recalled {
-        /// The asking router's attempt.
+        /// Attempt of the querying router.
         run: RunId,
-        /// What is remembered.
+        /// State of the claimed key.
         recall: Recall,
     },
-    /// Agent to router: state of agent and group.
+    /// Agent to router: state of the agent and of the group it leads.
     Report(Box<Report>),
-    /// Agent to router: load of the group it leads.
+    /// Agent to router: load of the group that the agent leads.
     Load(LoadReport),
     /// Agent to router: the next piece of an answer.
     Piece {
-        /// The attempt.
+        /// Attempt that the piece is for.
         run: RunId,
-        /// Number of pieces before this one, from the request's start.
+        /// Number of pieces before this one, including those of earlier attempts.
         offset: u64,
-        /// The text.
+        /// Text of the piece.
         text: String,
     },
     /// Agent to router: an attempt has ended.
     End {
-        /// The attempt.
+        /// Attempt that has ended.
         run: RunId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// Leader to member: grant presence.
+    /// Leader to member: request for a presence lease.
     LeaseAsk(Box<LeaseAsk>),
-    /// Member to leader: granted.
+    /// Member to leader: the presence lease is granted.
     LeaseGrant {
-        /// Incarnation of the leader that asked.
+        /// Incarnation of the leader that requested the lease.
         holder: u64,
-        /// Epoch of the grant.
+        /// Epoch of the lease.
         epoch: u64,
-        /// Round that is answered.
+        /// Round of the request.
         round: u64,
         /// Whether the member's endpoint has loaded.
         ready: bool,
@@ -80,34 +82,34 @@
         failed: bool,
         /// Whether the member is leaving.
         leaving: bool,
-        /// The member's bundle number.
+        /// Number of the member's bundle.
         bundle: u64,
     },
-    /// Member to leader: not granted.
+    /// Member to leader: the presence lease is denied.
     LeaseDeny {
-        /// Epoch that was asked for.
+        /// Epoch that was requested.
         epoch: u64,
-        /// Highest epoch the member has seen.
+        /// Highest epoch that the member has seen.
         seen: u64,
     },
-    /// Leader to member: the grant is given back.
+    /// Leader to member: the leader gives the presence lease back.
     LeaseReturn {
-        /// The group.
+        /// Group of the lease.
         group: GroupId,
-        /// The epoch.
+        /// Epoch of the lease.
         epoch: u64,
     },
-    /// Router to router: which bundle do you know to be in force?
+    /// Router to router: request for the number of the bundle in force.
     HeadAsk {
-        /// The asker's clock, echoed in the answer.
+        /// Time on the requesting router's clock, in milliseconds; echoed in the reply.
         asked_at: Millis,
-        /// Number of the asker's bundle.
+        /// Number of the bundle in force at the requesting router.
         number: u64,
     },
-    /// Router to router: answer.
+    /// Router to router: reply to `HeadAsk`.
     HeadReply(HeadReply),
-    /// Router to router: write these claims together with others.
+    /// Router to router: request to write claims, batched with those of other routers.
     ClaimAsk(Vec<ClaimWrite>),
-    /// Router to router: what became of claims.
+    /// Router to router: results of the claim writes that were requested.
     ClaimReply(Vec<(ClaimWrite, ClaimVerdict)>),
 }
--- a/src/message/mod.rs
+++ b/src/message/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes of the system.
 //!
-//! Routers dial agents, leaders dial members, routers dial routers; answers
-//! come back on the same session. [`Message`] is the closed set of them.
+//! Routers open sessions to agents and to other routers, and leaders to their members;
+//! replies are sent on the same session. [`Message`] lists all messages.
 
 mod attempt_end;
 mod claim_key;
--- a/src/message/recall.rs
+++ b/src/message/recall.rs
@@ -1,28 +1,28 @@
 use serde::{Deserialize, Serialize};
 
-/// What an agent remembers of a claimed key.
+/// State of a claimed key, as an agent remembers it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Recall {
-    /// It never started here and never will under the attempt asked about.
+    /// The request has not started at this agent, and the queried attempt never will.
     NotRun,
-    /// It hasn't been seen here yet; it may still arrive.
+    /// The agent has not seen the request, which may still arrive.
     NotSeen,
-    /// It is waiting or running; `text` is what it has produced up to `pieces`.
+    /// The request is waiting or running.
     Running {
-        /// Pieces so far.
+        /// Number of pieces so far.
         pieces: u64,
-        /// Their text.
+        /// Text of those pieces.
         text: String,
     },
-    /// It has ended.
+    /// The request has ended with an answer.
     Done {
-        /// HTTP status of the endpoint.
+        /// HTTP status of the endpoint's answer.
         status: u16,
-        /// Pieces of the whole answer.
+        /// Number of pieces of the whole answer.
         pieces: u64,
-        /// The whole answer.
+        /// Text of the whole answer.
         text: String,
     },
-    /// It was handed over and its outcome, or its text, isn't known any more.
+    /// The request may have run, and its outcome or its text is no longer known.
     Lost,
 }
--- a/src/message/report.rs
+++ b/src/message/report.rs
@@ -3,16 +3,17 @@
 use super::LeadReport;
 use crate::types::GroupId;
 
-/// What an agent tells the routers that have a session with it.
+/// State of an agent, sent to the routers that have a session with it.
 ///
-/// Sent when something changes, at a bounded rate.
+/// It is sent when something changes; changes of load alone are sent at a limited rate, as
+/// [`LoadReport`](super::LoadReport).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// Number of the agent's bundle.
     pub bundle: u64,
-    /// Group and epoch the agent has granted its presence to.
+    /// Group and epoch that the agent has granted its presence lease to.
     pub grant: Option<(GroupId, u64)>,
-    /// Present when the agent leads a group.
+    /// State of the group that the agent leads, if any.
     pub lead: Option<LeadReport>,
     /// Whether the agent is leaving.
     pub leaving: bool,
--- a/src/message/run_id.rs
+++ b/src/message/run_id.rs
@@ -4,12 +4,12 @@
 
 use crate::types::RequestId;
 
-/// One attempt at one request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunId {
     /// The request.
     pub request: RequestId,
-    /// Counts from 1 at the router that took the request.
+    /// Number of the attempt, counted from 1 by the router that accepted the request.
     pub attempt: u32,
 }
 
--- a/src/message/run_order.rs
+++ b/src/message/run_order.rs
@@ -5,34 +5,34 @@
 use super::{Once, RunId};
 use crate::types::{GroupId, Millis};
 
-/// Order to run one attempt on a group, sent to the group's leader.
+/// Order to a group's leader to run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RunOrder {
-    /// The attempt.
+    /// Attempt to run.
     pub run: RunId,
-    /// Group that shall run it.
+    /// Group that is to run it.
     pub group: GroupId,
-    /// The group's epoch as the router knows it.
+    /// Epoch of the group as the router knows it.
     pub epoch: u64,
-    /// Incarnation of the agent it is meant for.
+    /// Incarnation of the agent that the order is for.
     pub incarnation: u64,
-    /// The router's bundle number.
+    /// Number of the bundle in force at the router.
     pub bundle: u64,
     /// Class of the request.
     pub class: Arc<str>,
-    /// Client account.
+    /// Client account of the request.
     pub account: Arc<str>,
-    /// The account's share among others of the class.
+    /// Weight of the account's share of the slots among accounts of the same priority.
     pub share: u32,
     /// Time left until the deadline, in milliseconds.
     pub left_ms: Millis,
-    /// Present when the request may not be repeated.
+    /// Claim on the request; present if it may not be repeated.
     pub once: Option<Once>,
-    /// Path at the endpoint.
+    /// Path of the request to the endpoint.
     pub path: Arc<str>,
-    /// Body for the endpoint.
+    /// Body of the request to the endpoint.
     pub body: Arc<str>,
-    /// Pieces the caller already has; the run continues behind them.
+    /// Number of pieces that the caller already has; the run continues after them.
     pub offset: u64,
     /// Text of those pieces.
     pub prefix: String,
