--- a/tests/check/bundles.rs
+++ b/tests/check/bundles.rs
@@ -1,9 +1,13 @@
-//! Bundles: two routers, an agent, three bundles, cuts, lost answers.
+//! Model of bundles being put in force: two routers, an agent, three bundles.
 //!
-//! Bundle 1 is in force everywhere. Router r1 rolls bundle 2 and r2 rolls
-//! bundle 3, at any moment. Each router's way to the service is cut and healed,
-//! the way between them is cut, answers are lost, calls and messages are
-//! delayed without bound.
+//! Bundle 1 is in force everywhere. Router r1 rolls bundle 2 and r2 rolls bundle 3, at any
+//! time. The connection of each router to the key-value service, and the one between the
+//! routers, are cut and restored. Answers of the service are lost, and calls and messages
+//! are delayed without bound.
+//!
+//! Invariants: a router never returns to an older bundle, and it accepts no requests under a
+//! bundle from `PROOF_MS` after the service has accepted a newer one; an agent runs no
+//! request of a router whose bundle is older than its own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,27 +26,31 @@
     InstanceId, InstanceState, Member, Millis, ModelKind, Phase, RequestId,
 };
 
-use crate::explore::{explore, must_break, must_hold, off, walk, walks, Found};
-use crate::hashed::{kind, Hashed, Label};
+use crate::explore::{
+    explore, must_break, must_hold, random_walk, random_walks, without, Exploration,
+};
+use crate::hashed::{describe, Hashed, Label};
 
 const NAMES: [&str; 2] = ["r1", "r2"];
-/// Longest age of a proof.
-const PROOF: Millis = 2;
-/// States explored at most; whole routers take much memory.
-const LIMIT: usize = 150_000;
+/// Maximum age of a proof that a bundle is the newest.
+const PROOF_MS: Millis = 2;
+/// Maximum number of states that are expanded; limited by the memory that the state of two
+/// routers takes.
+const MAX_STATES: usize = 150_000;
 
 #[derive(Clone, Copy)]
 struct Faults {
     rules: Rules,
     cuts: u8,
     lost_answers: u8,
-    /// Whether r1 can't reach the service from the start.
-    cut_first: bool,
+    /// Whether r1 is cut off from the service from the start.
+    starts_cut: bool,
+    /// Time at which the model's clock stops.
     horizon: Millis,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Flying {
+struct PendingCall {
     router: usize,
     call: CallId,
     op: StoreCall,
@@ -55,19 +63,20 @@
     agent: Hashed<AgentState>,
     head: Head,
     revision: i64,
-    /// When each head was accepted.
+    /// Bundles that were put in force, with the time at which the service accepted them.
     accepted: Vec<(u64, Millis)>,
     rolled: [bool; 2],
-    flying: Vec<Flying>,
-    /// The letter from each router to the other.
-    letters: [Option<Hashed<Message>>; 2],
-    /// Routers that can't reach the service.
+    pending: Vec<PendingCall>,
+    /// Message in transit from each router to the other one.
+    messages: [Option<Hashed<Message>>; 2],
+    /// Whether each router is cut off from the service.
     cut: [bool; 2],
-    apart: bool,
+    /// Whether the routers are cut off from each other.
+    partitioned: bool,
     cuts: u8,
     lost_answers: u8,
-    broken: Option<String>,
-    last: Label,
+    violation: Option<String>,
+    last_step: Label,
 }
 
 fn addr() -> SocketAddr {
@@ -94,27 +103,33 @@
 }
 
 fn router(i: usize, rules: Rules) -> RouterState {
-    const NEVER: u64 = 1_000_000_000;
-    let knobs = RouterKnobs {
-        proof_ms: PROOF,
+    const NEVER_MS: u64 = 1_000_000_000;
+    let params = RouterKnobs {
+        proof_ms: PROOF_MS,
         prove_ms: 1,
         ask_ms: 1,
-        list_ms: NEVER,
-        planner_ms: 3 * NEVER,
-        plan_ms: NEVER,
+        list_ms: NEVER_MS,
+        planner_ms: 3 * NEVER_MS,
+        plan_ms: NEVER_MS,
         ..RouterKnobs::default()
     };
-    let mut state = RouterState::new(InstanceId::new(NAMES[i]), addr(), "h", 10 + i as u64, knobs);
+    let mut state = RouterState::new(
+        InstanceId::new(NAMES[i]),
+        addr(),
+        "h",
+        10 + i as u64,
+        params,
+    );
     state.rules = rules;
     state
 }
 
 fn agent(rules: Rules) -> AgentState {
-    let knobs = AgentKnobs {
+    let params = AgentKnobs {
         slots: 1,
         ..AgentKnobs::default()
     };
-    let mut state = AgentState::new(InstanceId::new("x"), 1, 0, knobs);
+    let mut state = AgentState::new(InstanceId::new("x"), 1, 0, params);
     state.ready_at = 0;
     state.rules = rules;
     state
@@ -152,33 +167,33 @@
             revision: 1,
             accepted: vec![(1, 0)],
             rolled: [false; 2],
-            flying: Vec::new(),
-            letters: [None, None],
+            pending: Vec::new(),
+            messages: [None, None],
             cut: [false; 2],
-            apart: false,
+            partitioned: false,
             cuts: faults.cuts,
             lost_answers: faults.lost_answers,
-            broken: None,
-            last: Label("start".into()),
+            violation: None,
+            last_step: Label("start".into()),
         };
         let assign = Message::Assign(Box::new(group()));
-        world.tell_agent(0, assign);
+        world.send_to_agent(0, assign);
         for r in [0, 1] {
             world.feed(r, Event::Tick);
             let list = vec![instance("r1"), instance("r2")];
             world.feed(r, Event::List(ListReply::Instances(list)));
         }
-        // Both have read the service and have met each other.
+        // Lets both routers read the service and exchange messages.
         for _ in 0..8 {
-            let mut all = Vec::new();
-            world.deliver(&mut all);
-            world.store(&mut all);
-            match all.into_iter().next() {
+            let mut successors = Vec::new();
+            world.deliver(&mut successors);
+            world.answer_calls(&mut successors);
+            match successors.into_iter().next() {
                 Some(next) => world = next,
                 None => break,
             }
         }
-        world.cut[0] = faults.cut_first;
+        world.cut[0] = faults.starts_cut;
         world
     }
 
@@ -195,10 +210,10 @@
         let mut node = Node::Router(Box::new(RouterState::clone(&self.routers[r])));
         let effects = step(&mut node, self.time, event);
         if let Node::Router(mut state) = node {
-            // Numbers of calls that have ended are used again, so that states recur.
+            // Numbers of ended calls are reused, so that equal states are recognized.
             state.next_call = state.calls.keys().max().map_or(1, |last| last + 1);
             if state.number() < before {
-                self.broken = Some(format!(
+                self.violation = Some(format!(
                     "{} went back to bundle {}",
                     NAMES[r],
                     state.number()
@@ -208,8 +223,8 @@
         }
         let now = self.routers[r].number();
         if now > before {
-            // A router that puts a bundle in force tells the agents it reaches.
-            self.tell_agent(
+            // A router sends the agents' part of a new bundle to its agents.
+            self.send_to_agent(
                 r,
                 Message::Brief(Brief {
                     number: now,
@@ -219,28 +234,28 @@
         }
         for effect in effects {
             match effect {
-                Effect::Send { message, .. } if !self.apart => {
-                    self.letters[r] = Some(Hashed::new(message));
+                Effect::Send { message, .. } if !self.partitioned => {
+                    self.messages[r] = Some(Hashed::new(message));
                 }
-                Effect::Store { call, op } => self.call(r, call, op),
+                Effect::Store { call, op } => self.on_store_call(r, call, op),
                 _ => {}
             }
         }
     }
 
-    fn call(&mut self, router: usize, call: CallId, op: StoreCall) {
+    fn on_store_call(&mut self, router: usize, call: CallId, op: StoreCall) {
         let head = |key: &String| key == Keys::HEAD || key == Keys::FLEET;
-        let matters = match &op {
+        let is_modelled = match &op {
             StoreCall::Read { key, .. } => head(key),
             StoreCall::Swap { .. } => true,
             _ => false,
         };
-        if matters {
-            self.flying.push(Flying { router, call, op });
+        if is_modelled {
+            self.pending.push(PendingCall { router, call, op });
         }
     }
 
-    fn tell_agent(&mut self, r: usize, message: Message) -> bool {
+    fn send_to_agent(&mut self, r: usize, message: Message) -> bool {
         let from = self.peer(r);
         let mut node = Node::Agent(Box::new(AgentState::clone(&self.agent)));
         let mut effects = step(&mut node, 0, Event::Message { from, message });
@@ -265,28 +280,34 @@
     }
 
     fn next(&self, faults: &Faults) -> Vec<World> {
-        let mut all = Vec::new();
+        let mut successors = Vec::new();
         if self.time < faults.horizon {
-            self.pass_time(&mut all);
+            self.advance_time(&mut successors);
         }
-        self.deliver(&mut all);
-        self.store(&mut all);
-        self.roll(&mut all);
-        self.disturb(&mut all);
-        all
+        self.deliver(&mut successors);
+        self.answer_calls(&mut successors);
+        self.roll_bundles(&mut successors);
+        self.inject_faults(&mut successors);
+        successors
     }
 
-    fn change(&self, what: String, all: &mut Vec<World>, apply: impl FnOnce(&mut World)) {
+    fn add_successor(
+        &self,
+        what: String,
+        successors: &mut Vec<World>,
+        apply: impl FnOnce(&mut World),
+    ) {
         let mut next = self.clone();
-        next.last = Label(what);
+        next.last_step = Label(what);
         apply(&mut next);
-        all.push(next);
+        successors.push(next);
     }
 
-    /// A paused router is one whose calls and letters wait; what it would do
-    /// at this moment is judged without polling it.
-    fn pass_time(&self, all: &mut Vec<World>) {
-        self.change("time passes".into(), all, |w| {
+    /// One unit of time passes, and both routers get a tick. A paused router needs no event of
+    /// its own: its calls and messages are delayed, and the invariants are checked in every
+    /// state.
+    fn advance_time(&self, successors: &mut Vec<World>) {
+        self.add_successor("time passes".into(), successors, |w| {
             w.time += 1;
             for r in [0, 1] {
                 w.feed(r, Event::Tick);
@@ -294,14 +315,14 @@
         });
     }
 
-    fn deliver(&self, all: &mut Vec<World>) {
+    fn deliver(&self, successors: &mut Vec<World>) {
         for r in [0, 1] {
-            let Some(message) = &self.letters[r] else {
+            let Some(message) = &self.messages[r] else {
                 continue;
             };
-            let what = format!("{} hears {}", NAMES[1 - r], kind(message));
-            self.change(what, all, |w| {
-                w.letters[r] = None;
+            let what = format!("{} receives {}", NAMES[1 - r], describe(message));
+            self.add_successor(what, successors, |w| {
+                w.messages[r] = None;
                 let from = w.peer(r);
                 let message = Message::clone(message);
                 w.feed(1 - r, Event::Message { from, message });
@@ -309,14 +330,14 @@
         }
     }
 
-    fn store(&self, all: &mut Vec<World>) {
-        for n in 0..self.flying.len() {
-            let Flying { router, call, op } = self.flying[n].clone();
+    fn answer_calls(&self, successors: &mut Vec<World>) {
+        for n in 0..self.pending.len() {
+            let PendingCall { router, call, op } = self.pending[n].clone();
             let name = NAMES[router];
-            let swap = matches!(op, StoreCall::Swap { .. });
+            let is_swap = matches!(op, StoreCall::Swap { .. });
             if self.cut[router] {
-                self.change(format!("{name}'s call fails"), all, |w| {
-                    w.flying.remove(n);
+                self.add_successor(format!("{name}'s call fails"), successors, |w| {
+                    w.pending.remove(n);
                     w.feed(
                         router,
                         Event::Store {
@@ -327,15 +348,15 @@
                 });
                 continue;
             }
-            self.change(
+            self.add_successor(
                 format!(
                     "{name}'s {} is answered",
-                    if swap { "swap" } else { "read" }
+                    if is_swap { "swap" } else { "read" }
                 ),
-                all,
+                successors,
                 |w| {
-                    w.flying.remove(n);
-                    let reply = w.carry_out(&op);
+                    w.pending.remove(n);
+                    let reply = w.apply_call(&op);
                     w.feed(
                         router,
                         Event::Store {
@@ -345,14 +366,14 @@
                     );
                 },
             );
-            if swap && self.lost_answers > 0 {
-                self.change(
+            if is_swap && self.lost_answers > 0 {
+                self.add_successor(
                     format!("{name}'s swap is done, its answer lost"),
-                    all,
+                    successors,
                     |w| {
                         w.lost_answers -= 1;
-                        w.flying.remove(n);
-                        w.carry_out(&op);
+                        w.pending.remove(n);
+                        w.apply_call(&op);
                         w.feed(
                             router,
                             Event::Store {
@@ -366,7 +387,7 @@
         }
     }
 
-    fn carry_out(&mut self, op: &StoreCall) -> StoreReply {
+    fn apply_call(&mut self, op: &StoreCall) -> StoreReply {
         let revision = self.revision;
         match op {
             StoreCall::Swap { checks, puts, .. } => {
@@ -423,16 +444,16 @@
         }
     }
 
-    /// An operator rolls a bundle of his own at each router.
-    fn roll(&self, all: &mut Vec<World>) {
+    /// At each router an operator rolls another bundle, once.
+    fn roll_bundles(&self, successors: &mut Vec<World>) {
         for r in [0, 1] {
             if self.rolled[r] {
                 continue;
             }
             let number = 2 + r as u64;
-            self.change(
+            self.add_successor(
                 format!("bundle {number} is rolled at {}", NAMES[r]),
-                all,
+                successors,
                 |w| {
                     w.rolled[r] = true;
                     let call = OperatorCall::Roll {
@@ -445,30 +466,34 @@
         }
     }
 
-    fn disturb(&self, all: &mut Vec<World>) {
+    fn inject_faults(&self, successors: &mut Vec<World>) {
         if self.cuts == 0 {
             return;
         }
         for r in [0, 1] {
-            self.change(
-                format!("{} is cut from the service, or healed", NAMES[r]),
-                all,
+            self.add_successor(
+                format!("{} is cut off from the service, or reconnected", NAMES[r]),
+                successors,
                 |w| {
                     w.cuts -= 1;
                     w.cut[r] = !w.cut[r];
                 },
             );
         }
-        self.change("the routers are cut apart, or healed".into(), all, |w| {
-            w.cuts -= 1;
-            w.apart = !w.apart;
-            w.letters = [None, None];
-        });
+        self.add_successor(
+            "the routers are cut off from each other, or reconnected".into(),
+            successors,
+            |w| {
+                w.cuts -= 1;
+                w.partitioned = !w.partitioned;
+                w.messages = [None, None];
+            },
+        );
     }
 
-    fn broken(&self) -> Option<String> {
-        if self.broken.is_some() {
-            return self.broken.clone();
+    fn violation(&self) -> Option<String> {
+        if self.violation.is_some() {
+            return self.violation.clone();
         }
         for r in [0, 1] {
             let router = &self.routers[r];
@@ -476,20 +501,21 @@
             let Some((number, at)) = newer else {
                 continue;
             };
-            if router.proven(self.time) && self.time >= at + PROOF {
+            if router.proven(self.time) && self.time >= at + PROOF_MS {
                 return Some(format!(
-                    "{} takes work under bundle {} at {}, although {number} was accepted at {at}",
+                    "{} accepts requests under bundle {} at {}, but {number} was accepted at {at}",
                     NAMES[r],
                     router.number(),
                     self.time
                 ));
             }
         }
-        self.probe()
+        self.find_old_run()
     }
 
-    /// Whether the agent would run a request of a router whose bundle is older.
-    fn probe(&self) -> Option<String> {
+    /// Orders a run from each router whose bundle is older than the agent's; returns the
+    /// violation if the agent starts it.
+    fn find_old_run(&self) -> Option<String> {
         let own = self.agent.brief.number;
         [0, 1]
             .into_iter()
@@ -515,7 +541,7 @@
                     offset: 0,
                     prefix: String::new(),
                 };
-                let started = self.clone().tell_agent(r, Message::Run(Box::new(order)));
+                let started = self.clone().send_to_agent(r, Message::Run(Box::new(order)));
                 started.then(|| format!("an agent at bundle {own} ran work of bundle {bundle}"))
             })
     }
@@ -525,33 +551,33 @@
     rules: Rules::ALL,
     cuts: 1,
     lost_answers: 1,
-    cut_first: false,
+    starts_cut: false,
     horizon: 2,
 };
 
-fn check(faults: Faults) -> Found<World> {
+fn check(faults: Faults) -> Exploration<World> {
     explore(
-        LIMIT,
+        MAX_STATES,
         World::new(&faults),
         |w| w.next(&faults),
-        World::broken,
+        World::violation,
     )
 }
 
-fn holds(name: &str, faults: Faults) {
+fn check_holds(name: &str, faults: Faults) {
     assert_eq!(faults.rules, Rules::default());
     let name = format!("bundles, {name}, up to time {}", faults.horizon);
-    must_hold(&name, &check(faults), |w| &w.last.0);
+    must_hold(&name, &check(faults), |w| &w.last_step.0);
 }
 
 #[test]
 fn a_bundle_once_accepted_is_in_force_everywhere_through_a_cut_and_a_lost_answer() {
-    holds("a cut and a lost answer", CUTS);
+    check_holds("a cut and a lost answer", CUTS);
 }
 
 #[test]
 fn a_bundle_once_accepted_is_in_force_everywhere_through_a_later_cut() {
-    holds(
+    check_holds(
         "a cut",
         Faults {
             lost_answers: 0,
@@ -563,7 +589,7 @@
 
 #[test]
 fn a_bundle_once_accepted_is_in_force_everywhere_through_operators_races() {
-    holds(
+    check_holds(
         "a lost answer",
         Faults {
             cuts: 0,
@@ -575,10 +601,10 @@
 
 #[test]
 fn a_bundle_once_accepted_is_in_force_at_a_router_cut_off_from_the_service() {
-    holds(
+    check_holds(
         "r1 cut off, then another cut",
         Faults {
-            cut_first: true,
+            starts_cut: true,
             ..CUTS
         },
     );
@@ -590,28 +616,28 @@
         (
             "head_proof",
             Faults {
-                rules: off(|r| r.head_proof = false),
+                rules: without(|r| r.head_proof = false),
                 ..CUTS
             },
         ),
         (
             "bundle_refusal",
             Faults {
-                rules: off(|r| r.bundle_refusal = false),
+                rules: without(|r| r.bundle_refusal = false),
                 ..CUTS
             },
         ),
         (
             "settled_only",
             Faults {
-                rules: off(|r| r.settled_only = false),
+                rules: without(|r| r.settled_only = false),
                 cuts: 2,
                 ..CUTS
             },
         ),
     ];
     for (rule, faults) in table {
-        must_break("bundles", rule, check(faults).broken);
+        must_break("bundles", rule, check(faults).violation);
     }
 }
 
@@ -623,9 +649,9 @@
         horizon: 40,
         ..CUTS
     };
-    walks(300, |seed| {
+    random_walks(300, |seed| {
         let start = World::new(&faults);
-        let fault = walk(start, |w| w.next(&faults), World::broken, seed, 250)?;
+        let fault = random_walk(start, |w| w.next(&faults), World::violation, seed, 250)?;
         Some(fault.0)
     });
 }
--- a/tests/check/claims.rs
+++ b/tests/check/claims.rs
@@ -1,10 +1,14 @@
-//! Requests that may not be repeated: two routers, two agents, restarts.
+//! Model of requests that may not be repeated: two routers, two agents, one request.
 //!
-//! The same caller's key reaches both routers. Calls to the service are carried
-//! out late, or carried out and their answer lost. Messages are delayed without
-//! bound and overtake each other; sessions break; an agent starts again with
-//! empty memory while its endpoint goes on; a router dies for good. Time stands
-//! still: nothing here may depend on it.
+//! The same idempotency key arrives at both routers. Writes to the key-value service take
+//! effect after their call has failed, or take effect and the answer is lost. Messages are
+//! delayed without bound and reordered. Sessions break, an agent restarts with empty memory
+//! while its endpoint goes on, and a router crashes and doesn't restart. Time stands still,
+//! as the invariants must not depend on it.
+//!
+//! Invariants: the request runs at most once, no caller is told that it didn't run if it
+//! did or does later, and agents are ordered to remember a key for at least twice the
+//! duration of its claim's lease.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,8 +28,10 @@
     Head, Instance, InstanceId, InstanceState, Member, ModelKind, ModelSpec, Phase, RequestId,
 };
 
-use crate::explore::{explore, must_break, must_hold, off, walk, walks, Found, LIMIT};
-use crate::hashed::{kind, Hashed, Label};
+use crate::explore::{
+    explore, must_break, must_hold, random_walk, random_walks, without, Exploration, MAX_STATES,
+};
+use crate::hashed::{describe, Hashed, Label};
 
 /// Nodes 0 and 1 are routers, 2 and 3 agents.
 const NAMES: [&str; 4] = ["r1", "r2", "x", "y"];
@@ -35,12 +41,12 @@
 #[derive(Clone, Copy)]
 struct Faults {
     rules: Rules,
-    /// Answers of the service that are lost although the write took effect.
+    /// Number of writes that take effect and whose answer is lost.
     lost_answers: u8,
-    /// Writes that take effect after their call has failed.
+    /// Number of writes that take effect after their call has failed.
     late_writes: u8,
     restarts: u8,
-    cuts: u8,
+    session_losses: u8,
     router_deaths: u8,
     /// Whether one of the routers writes the claims of both.
     one_writer: bool,
@@ -48,15 +54,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Letter {
+struct Envelope {
     from: Peer,
     to: usize,
     message: Hashed<Message>,
 }
 
-/// A call under way, or one that has failed for its caller and is still under way.
+/// A store call in progress; `call` is `None` if it has already failed for its router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Flying {
+struct PendingCall {
     router: usize,
     call: Option<CallId>,
     op: StoreCall,
@@ -64,35 +70,35 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// Stands still once the routers have dialled the agents.
+    /// Constant once the routers have opened sessions to the agents.
     now: u64,
     nodes: Vec<Hashed<Node>>,
     dead: [bool; 2],
-    arrived: [bool; 2],
+    request_sent: [bool; 2],
     claims: BTreeMap<String, (String, i64)>,
     revision: i64,
-    flying: Vec<Flying>,
-    letters: Vec<Letter>,
-    /// Routers that haven't heard yet that an agent's session was renewed.
-    news: Vec<(usize, usize)>,
-    /// Runs that the endpoints carry out now, by agent.
+    pending: Vec<PendingCall>,
+    envelopes: Vec<Envelope>,
+    /// Sessions, by router and agent, that are broken and will be renewed.
+    renewals: Vec<(usize, usize)>,
+    /// Runs in progress at the endpoints, with the agent of the endpoint.
     active: Vec<(usize, RunId)>,
-    /// How often an endpoint has started the request.
-    started: u8,
-    /// Requests under which it was started.
-    under: Vec<RequestId>,
-    /// Requests whose caller was told that they weren't run.
-    told_not_run: Vec<RequestId>,
+    /// Number of times that an endpoint has started a run.
+    start_count: u8,
+    /// Requests, one at each router, whose runs were started.
+    started_requests: Vec<RequestId>,
+    /// Requests whose caller was answered that they didn't run.
+    not_run_answers: Vec<RequestId>,
     lost_answers: u8,
     late_writes: u8,
     restarts: u8,
-    cuts: u8,
+    session_losses: u8,
     router_deaths: u8,
     one_writer: bool,
-    /// Life of claims by their lease.
+    /// Duration of the lease that claims are attached to, in milliseconds.
     claim_ms: u64,
-    broken: Option<String>,
-    last: Label,
+    violation: Option<String>,
+    last_step: Label,
 }
 
 fn index(id: &InstanceId) -> usize {
@@ -188,7 +194,7 @@
     ]
 }
 
-/// Serialization behind one name, whatever the type.
+/// Object-safe JSON serialization.
 mod erased {
     pub trait Json {
         fn json(&self) -> String;
@@ -202,12 +208,12 @@
 }
 
 fn router(i: usize, faults: &Faults) -> Node {
-    const NEVER: u64 = 1_000_000_000;
-    let knobs = RouterKnobs {
-        prove_ms: NEVER,
-        list_ms: NEVER,
-        planner_ms: 3 * NEVER,
-        plan_ms: NEVER,
+    const NEVER_MS: u64 = 1_000_000_000;
+    let params = RouterKnobs {
+        prove_ms: NEVER_MS,
+        list_ms: NEVER_MS,
+        planner_ms: 3 * NEVER_MS,
+        plan_ms: NEVER_MS,
         claim_ms: 0,
         claim_writers: 1,
         park_ms: 0,
@@ -219,13 +225,13 @@
         ..RouterKnobs::default()
     };
     let id = InstanceId::new(NAMES[i]);
-    let mut state = RouterState::new(id, addr(), "h", 10 + i as u64, knobs);
+    let mut state = RouterState::new(id, addr(), "h", 10 + i as u64, params);
     state.rules = faults.rules;
     state.seed = faults.seeds[i];
     Node::Router(Box::new(state))
 }
 
-fn listed(i: usize) -> Instance {
+fn list_entry(i: usize) -> Instance {
     Instance {
         id: InstanceId::new(NAMES[i]),
         hall: Arc::from("h"),
@@ -237,12 +243,12 @@
 }
 
 fn agent(i: usize, incarnation: u64, rules: Rules) -> Node {
-    let knobs = AgentKnobs {
+    let params = AgentKnobs {
         slots: 1,
         ..AgentKnobs::default()
     };
-    let mut state = AgentState::new(InstanceId::new(NAMES[i]), incarnation, 0, knobs);
-    // The wait after a start is the other model's matter; here time stands still.
+    let mut state = AgentState::new(InstanceId::new(NAMES[i]), incarnation, 0, params);
+    // The wait after a start is part of the model of groups; here time stands still.
     state.ready_at = 0;
     state.rules = rules;
     Node::Agent(Box::new(state))
@@ -260,30 +266,30 @@
             now: 0,
             nodes: nodes.into_iter().map(Hashed::new).collect(),
             dead: [false; 2],
-            arrived: [false; 2],
+            request_sent: [false; 2],
             claims: BTreeMap::new(),
             revision: 1,
-            flying: Vec::new(),
-            letters: Vec::new(),
-            news: Vec::new(),
+            pending: Vec::new(),
+            envelopes: Vec::new(),
+            renewals: Vec::new(),
             active: Vec::new(),
-            started: 0,
-            under: Vec::new(),
-            told_not_run: Vec::new(),
+            start_count: 0,
+            started_requests: Vec::new(),
+            not_run_answers: Vec::new(),
             lost_answers: faults.lost_answers,
             late_writes: faults.late_writes,
             restarts: faults.restarts,
-            cuts: faults.cuts,
+            session_losses: faults.session_losses,
             router_deaths: faults.router_deaths,
             one_writer: faults.one_writer,
             claim_ms: 0,
-            broken: None,
-            last: Label("start".into()),
+            violation: None,
+            last_step: Label("start".into()),
         };
         for r in ROUTERS {
             world.feed(r, Event::Tick);
             let list = if faults.one_writer {
-                ROUTERS.map(listed).into()
+                ROUTERS.map(list_entry).into()
             } else {
                 Vec::new()
             };
@@ -299,7 +305,7 @@
         for r in ROUTERS {
             world.feed(r, Event::Tick);
             for a in AGENTS {
-                world.renew(r, a);
+                world.renew_session(r, a);
             }
         }
         for r in ROUTERS {
@@ -309,7 +315,7 @@
             assert!(state.agents.values().all(|a| a.report.is_some()) && state.agents.len() == 2);
         }
         assert!(
-            world.letters.is_empty() && world.flying.is_empty(),
+            world.envelopes.is_empty() && world.pending.is_empty(),
             "{world:?}"
         );
         world
@@ -328,32 +334,32 @@
         }
     }
 
-    fn alive(&self, i: usize) -> bool {
+    fn is_alive(&self, i: usize) -> bool {
         i >= 2 || !self.dead[i]
     }
 
-    /// Feeds one event and carries its effects out.
+    /// Feeds one event to a node and applies its effects.
     fn feed(&mut self, i: usize, event: Event) {
-        if !self.alive(i) {
+        if !self.is_alive(i) {
             return;
         }
         let mut node = Node::clone(&self.nodes[i]);
         let effects = step(&mut node, self.now, event);
         if let Node::Router(state) = &mut node {
-            // Numbers of calls that have ended are used again, so that states recur.
+            // Numbers of ended calls are reused, so that equal states are recognized.
             state.next_call = state.calls.keys().max().map_or(1, |last| last + 1);
         }
         self.nodes[i] = Hashed::new(node);
         for effect in effects {
-            self.carry_out(i, effect);
+            self.apply_effect(i, effect);
         }
     }
 
-    fn carry_out(&mut self, i: usize, effect: Effect) {
+    fn apply_effect(&mut self, i: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send(i, index(&to), message),
-            Effect::Store { call, op } => self.call(i, call, op),
-            Effect::Answer { request, part } => self.told(request, &part),
+            Effect::Store { call, op } => self.on_store_call(i, call, op),
+            Effect::Answer { request, part } => self.on_answer(request, &part),
             Effect::Endpoint(EndpointCall::Load(order)) => {
                 let event = EndpointEvent::Loaded {
                     epoch: order.epoch,
@@ -363,25 +369,26 @@
             }
             Effect::Endpoint(EndpointCall::Start(order)) => {
                 self.active.push((i, order.run));
-                self.started += 1;
-                self.under.push(order.run.request);
-                if self.started > 1 {
-                    self.broken = Some("a request that may not be repeated ran twice".into());
+                self.start_count += 1;
+                self.started_requests.push(order.run.request);
+                if self.start_count > 1 {
+                    self.violation = Some("a request that may not be repeated ran twice".into());
                 }
-                if self.told_not_run.contains(&order.run.request) {
-                    self.broken = Some("a request ran after its caller was told it didn't".into());
+                if self.not_run_answers.contains(&order.run.request) {
+                    self.violation =
+                        Some("a request ran after its caller was told it didn't".into());
                 }
             }
             _ => {}
         }
     }
 
-    /// Control messages arrive at once; those of requests travel as letters.
+    /// Delivers a control message at once, and queues a message of a request for delivery.
     fn send(&mut self, from: usize, to: usize, message: Message) {
         if let Message::Run(order) = &message {
             let keep = order.once.map_or(u64::MAX, |o| o.keep_ms);
             if keep < 2 * self.claim_ms {
-                self.broken = Some("an agent may forget a key before its claim is gone".into());
+                self.violation = Some("an agent may forget a key before its claim is gone".into());
             }
         }
         let peer = self.peer(from);
@@ -392,7 +399,7 @@
             | Message::Piece { .. }
             | Message::End { .. }
             | Message::ClaimAsk(_)
-            | Message::ClaimReply(_) => self.letters.push(Letter {
+            | Message::ClaimReply(_) => self.envelopes.push(Envelope {
                 from: peer,
                 to,
                 message: Hashed::new(message),
@@ -407,7 +414,7 @@
         }
     }
 
-    fn call(&mut self, router: usize, call: CallId, op: StoreCall) {
+    fn on_store_call(&mut self, router: usize, call: CallId, op: StoreCall) {
         let result = match &op {
             StoreCall::Read { key, .. } if key == Keys::FLEET => Ok(StoreReply::Entries {
                 revision: 1,
@@ -424,12 +431,12 @@
                     ttl_s: 1_000,
                 })
             }
-            // Nobody plans here.
+            // The model has no planner.
             StoreCall::Read { .. } | StoreCall::Renew { .. } | StoreCall::Revoke { .. } => {
                 Err(StoreFault)
             }
             StoreCall::Swap { .. } => {
-                self.flying.push(Flying {
+                self.pending.push(PendingCall {
                     router,
                     call: Some(call),
                     op,
@@ -437,7 +444,8 @@
                 return;
             }
         };
-        // A failed read of the planner's doesn't mean that the service is down.
+        // A failed call of the planner doesn't mean that the service is unavailable. The
+        // reply to an unknown call makes the router take it as available again.
         let failed = result.is_err();
         self.feed(router, Event::Store { call, result });
         if failed {
@@ -447,28 +455,30 @@
         }
     }
 
-    fn told(&mut self, request: RequestId, part: &AnswerPart) {
+    fn on_answer(&mut self, request: RequestId, part: &AnswerPart) {
         let AnswerPart::Problem(problem) = part else {
             return;
         };
         if problem.outcome != Outcome::NotRun {
             return;
         }
-        // Where another router writes the claim, its answer travels, and a copy of
-        // the request that met the claim later may have run meanwhile.
+        // Where one router writes all claims, the result of a write takes time to reach the
+        // other router, and the other router's copy of the request may run meanwhile. Then
+        // only a run of this copy is a violation.
         let ran = if self.one_writer {
-            self.under.contains(&request)
+            self.started_requests.contains(&request)
         } else {
-            self.started > 0
+            self.start_count > 0
         };
         if ran {
-            self.broken = Some("a caller was told `not run` although the request had run".into());
+            self.violation =
+                Some("a caller was told `not run` although the request had run".into());
         }
-        self.told_not_run.push(request);
+        self.not_run_answers.push(request);
     }
 
-    /// A router hears that its session with an agent is gone and open again.
-    fn renew(&mut self, r: usize, a: usize) {
+    /// Closes the session between a router and an agent and opens it again.
+    fn renew_session(&mut self, r: usize, a: usize) {
         let down = Event::Down(InstanceId::new(NAMES[a]));
         self.feed(r, down);
         let router = self.peer(r);
@@ -476,72 +486,88 @@
         self.feed(a, Event::Up(router));
         let agent = self.peer(a);
         self.feed(r, Event::Up(agent));
-        // The report that greets a router comes behind the session's opening.
+        // The agent's first report must arrive after the router has opened its session.
         let router = self.peer(r);
         self.feed(a, Event::Up(router));
     }
 
     fn next(&self, faults: &Faults) -> Vec<World> {
-        let mut all = Vec::new();
-        self.arrive(&mut all);
-        self.deliver(&mut all);
-        self.store(&mut all);
-        self.finish(&mut all);
-        self.disturb(faults, &mut all);
-        for world in &mut all {
-            // Order doesn't matter in a set; a sorted one is found again.
-            world.letters.sort_by_key(|l| (l.to, l.message.key()));
+        let mut successors = Vec::new();
+        self.send_requests(&mut successors);
+        self.deliver(&mut successors);
+        self.answer_calls(&mut successors);
+        self.end_runs(&mut successors);
+        self.inject_faults(faults, &mut successors);
+        for world in &mut successors {
+            // The order of messages and runs has no meaning; they are sorted so that equal
+            // states are recognized.
+            world
+                .envelopes
+                .sort_by_key(|l| (l.to, l.message.sort_key()));
             world.active.sort_unstable();
         }
-        all
+        successors
     }
 
-    fn change(&self, what: String, all: &mut Vec<World>, apply: impl FnOnce(&mut World)) {
+    fn add_successor(
+        &self,
+        what: String,
+        successors: &mut Vec<World>,
+        apply: impl FnOnce(&mut World),
+    ) {
         let mut next = self.clone();
-        next.last = Label(what);
+        next.last_step = Label(what);
         apply(&mut next);
-        all.push(next);
+        successors.push(next);
     }
 
-    fn arrive(&self, all: &mut Vec<World>) {
+    fn send_requests(&self, successors: &mut Vec<World>) {
         for r in ROUTERS
             .into_iter()
-            .filter(|r| !self.arrived[*r] && !self.dead[*r])
+            .filter(|r| !self.request_sent[*r] && !self.dead[*r])
         {
-            self.change(format!("the request arrives at {}", NAMES[r]), all, |w| {
-                w.arrived[r] = true;
-                w.feed(
-                    r,
-                    Event::Request(Box::new(CallerRequest {
-                        id: RequestId {
-                            node: 10 + r as u64,
-                            number: 1,
-                        },
-                        key_sha256: "k".into(),
-                        model: Arc::from("svc"),
-                        kind: ModelKind::Service,
-                        class: None,
-                        path: Arc::from("/renew"),
-                        body: Arc::from("{}"),
-                        deadline_ms: None,
-                        once_key: Some("key".into()),
-                    })),
-                );
-            });
+            self.add_successor(
+                format!("the request arrives at {}", NAMES[r]),
+                successors,
+                |w| {
+                    w.request_sent[r] = true;
+                    w.feed(
+                        r,
+                        Event::Request(Box::new(CallerRequest {
+                            id: RequestId {
+                                node: 10 + r as u64,
+                                number: 1,
+                            },
+                            key_sha256: "k".into(),
+                            model: Arc::from("svc"),
+                            kind: ModelKind::Service,
+                            class: None,
+                            path: Arc::from("/renew"),
+                            body: Arc::from("{}"),
+                            deadline_ms: None,
+                            once_key: Some("key".into()),
+                        })),
+                    );
+                },
+            );
         }
     }
 
-    fn deliver(&self, all: &mut Vec<World>) {
-        for n in 0..self.letters.len() {
-            let letter = &self.letters[n];
-            let what = format!("{} hears {}", NAMES[letter.to], kind(&letter.message));
-            self.change(what, all, |w| {
-                let letter = w.letters.remove(n);
-                let message = Message::clone(&letter.message);
+    fn deliver(&self, successors: &mut Vec<World>) {
+        for n in 0..self.envelopes.len() {
+            let envelope = &self.envelopes[n];
+            let what = format!(
+                "{} receives {}",
+                NAMES[envelope.to],
+                describe(&envelope.message)
+            );
+            self.add_successor(what, successors, |w| {
+                let envelope = w.envelopes.remove(n);
+                let message = Message::clone(&envelope.message);
                 w.feed(
-                    letter.to,
+                    envelope.to,
                     Event::Message {
-                        from: letter.from,
+                        from: envelope.from,
                         message,
                     },
                 );
@@ -549,22 +575,26 @@
         }
     }
 
-    fn store(&self, all: &mut Vec<World>) {
-        for n in 0..self.flying.len() {
-            let flying = self.flying[n].clone();
-            let name = NAMES[flying.router];
-            let Some(call) = flying.call else {
-                self.change(format!("a late write of {name} takes effect"), all, |w| {
-                    w.flying.remove(n);
-                    w.swap(&flying.op);
-                });
+    fn answer_calls(&self, successors: &mut Vec<World>) {
+        for n in 0..self.pending.len() {
+            let pending = self.pending[n].clone();
+            let name = NAMES[pending.router];
+            let Some(call) = pending.call else {
+                self.add_successor(
+                    format!("a late write of {name} takes effect"),
+                    successors,
+                    |w| {
+                        w.pending.remove(n);
+                        w.apply_swap(&pending.op);
+                    },
+                );
                 continue;
             };
-            self.change(format!("{name}'s swap is answered"), all, |w| {
-                w.flying.remove(n);
-                let reply = w.swap(&flying.op);
+            self.add_successor(format!("{name}'s swap is answered"), successors, |w| {
+                w.pending.remove(n);
+                let reply = w.apply_swap(&pending.op);
                 w.feed(
-                    flying.router,
+                    pending.router,
                     Event::Store {
                         call,
                         result: Ok(reply),
@@ -577,32 +607,32 @@
             };
             if self.lost_answers > 0 {
                 let event = lost.clone();
-                self.change(
+                self.add_successor(
                     format!("{name}'s swap is done, its answer lost"),
-                    all,
+                    successors,
                     |w| {
                         w.lost_answers -= 1;
-                        w.flying.remove(n);
-                        w.swap(&flying.op);
-                        w.feed(flying.router, event);
+                        w.pending.remove(n);
+                        w.apply_swap(&pending.op);
+                        w.feed(pending.router, event);
                     },
                 );
             }
             if self.late_writes > 0 {
-                self.change(
+                self.add_successor(
                     format!("{name}'s swap fails and is still under way"),
-                    all,
+                    successors,
                     |w| {
                         w.late_writes -= 1;
-                        w.flying[n].call = None;
-                        w.feed(flying.router, lost);
+                        w.pending[n].call = None;
+                        w.feed(pending.router, lost);
                     },
                 );
             }
         }
     }
 
-    fn swap(&mut self, op: &StoreCall) -> StoreReply {
+    fn apply_swap(&mut self, op: &StoreCall) -> StoreReply {
         let StoreCall::Swap {
             checks,
             puts,
@@ -610,7 +640,7 @@
             ..
         } = op
         else {
-            panic!("only swaps fly");
+            panic!("only swaps are pending");
         };
         let revision = |w: &World, key: &String| w.claims.get(key).map_or(0, |(_, r)| *r);
         let done = checks.iter().all(|c| revision(self, &c.key) == c.revision);
@@ -636,13 +666,13 @@
         }
     }
 
-    /// An endpoint ends what it runs; an agent that has restarted doesn't hear it.
-    fn finish(&self, all: &mut Vec<World>) {
+    /// Ends runs at the endpoints; an agent that has restarted ignores the result.
+    fn end_runs(&self, successors: &mut Vec<World>) {
         for n in 0..self.active.len() {
             let (a, run) = self.active[n];
-            self.change(
+            self.add_successor(
                 format!("the endpoint of {} ends its run", NAMES[a]),
-                all,
+                successors,
                 |w| {
                     w.active.remove(n);
                     let text = "done".to_string();
@@ -654,45 +684,45 @@
         }
     }
 
-    fn disturb(&self, faults: &Faults, all: &mut Vec<World>) {
-        for n in 0..self.news.len() {
-            let (r, a) = self.news[n];
-            self.change(
+    fn inject_faults(&self, faults: &Faults, successors: &mut Vec<World>) {
+        for n in 0..self.renewals.len() {
+            let (r, a) = self.renewals[n];
+            self.add_successor(
                 format!("{} renews its session with {}", NAMES[r], NAMES[a]),
-                all,
+                successors,
                 |w| {
-                    w.news.remove(n);
-                    w.renew(r, a);
+                    w.renewals.remove(n);
+                    w.renew_session(r, a);
                 },
             );
         }
         for a in AGENTS {
             if self.restarts > 0 {
-                self.change(
-                    format!("{} starts again with empty memory", NAMES[a]),
-                    all,
+                self.add_successor(
+                    format!("{} restarts with empty memory", NAMES[a]),
+                    successors,
                     |w| {
                         w.restarts -= 1;
                         w.nodes[a] = Hashed::new(agent(a, 2, faults.rules));
-                        w.news.extend(ROUTERS.map(|r| (r, a)));
+                        w.renewals.extend(ROUTERS.map(|r| (r, a)));
                     },
                 );
             }
             for r in ROUTERS
                 .into_iter()
-                .filter(|r| self.cuts > 0 && !self.dead[*r])
+                .filter(|r| self.session_losses > 0 && !self.dead[*r])
             {
-                self.change(
+                self.add_successor(
                     format!("{} and {} lose their session", NAMES[r], NAMES[a]),
-                    all,
+                    successors,
                     |w| {
-                        w.cuts -= 1;
-                        let between = |l: &Letter| {
+                        w.session_losses -= 1;
+                        let between = |l: &Envelope| {
                             (l.to == r && index(&l.from.id) == a)
                                 || (l.to == a && index(&l.from.id) == r)
                         };
-                        w.letters.retain(|l| !between(l));
-                        w.news.push((r, a));
+                        w.envelopes.retain(|l| !between(l));
+                        w.renewals.push((r, a));
                     },
                 );
             }
@@ -701,80 +731,86 @@
             .into_iter()
             .filter(|r| self.router_deaths > 0 && !self.dead[*r])
         {
-            self.change(format!("{} dies", NAMES[r]), all, |w| {
+            self.add_successor(format!("{} crashes", NAMES[r]), successors, |w| {
                 w.router_deaths -= 1;
                 w.dead[r] = true;
-                w.news.retain(|(n, _)| *n != r);
+                w.renewals.retain(|(n, _)| *n != r);
             });
         }
     }
 }
 
-const QUIET: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     rules: Rules::ALL,
     lost_answers: 0,
     late_writes: 0,
     restarts: 0,
-    cuts: 0,
+    session_losses: 0,
     router_deaths: 0,
     one_writer: false,
     seeds: [1, 2],
 };
 
-fn check(faults: Faults) -> Found<World> {
+fn check(faults: Faults) -> Exploration<World> {
     explore(
-        LIMIT,
+        MAX_STATES,
         World::new(&faults),
         |w| w.next(&faults),
-        |w| w.broken.clone(),
+        |w| w.violation.clone(),
     )
 }
 
-fn holds(name: &str, faults: Faults) {
+fn check_holds(name: &str, faults: Faults) {
     assert_eq!(faults.rules, Rules::default());
     for seeds in [[1, 2], [2, 1], [1, 1]] {
         let found = check(Faults { seeds, ..faults });
         let name = format!("claims, {name}, seeds {seeds:?}");
-        must_hold(&name, &found, |w| &w.last.0);
+        must_hold(&name, &found, |w| &w.last_step.0);
     }
 }
 
 #[test]
 fn a_request_that_may_not_be_repeated_runs_once_through_an_agents_restart() {
-    holds(
+    check_holds(
         "one restart",
         Faults {
             restarts: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
     );
 }
 
 #[test]
 fn a_request_that_may_not_be_repeated_runs_once_through_a_broken_session() {
-    holds("one broken session", Faults { cuts: 1, ..QUIET });
+    check_holds(
+        "one broken session",
+        Faults {
+            session_losses: 1,
+            ..NO_FAULTS
+        },
+    );
 }
 
 #[test]
 fn a_request_that_may_not_be_repeated_runs_once_through_a_routers_death_and_a_lost_answer() {
-    holds(
+    check_holds(
         "a router's death and a lost answer",
         Faults {
             lost_answers: 1,
             router_deaths: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
     );
 }
 
 #[test]
 fn a_request_that_may_not_be_repeated_runs_once_through_late_writes() {
-    holds(
+    check_holds(
         "a late write and a router's death",
         Faults {
             late_writes: 1,
             router_deaths: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
     );
 }
@@ -783,11 +819,11 @@
 fn a_request_that_may_not_be_repeated_runs_once_where_one_router_writes_all_claims() {
     let faults = Faults {
         one_writer: true,
-        ..QUIET
+        ..NO_FAULTS
     };
-    holds("one writer", faults);
+    check_holds("one writer", faults);
     let lost_answers = 1;
-    holds(
+    check_holds(
         "one writer, a lost answer",
         Faults {
             lost_answers,
@@ -795,7 +831,7 @@
         },
     );
     let restarts = 1;
-    holds("one writer, one restart", Faults { restarts, ..faults });
+    check_holds("one writer, one restart", Faults { restarts, ..faults });
 }
 
 #[test]
@@ -804,24 +840,24 @@
         (
             "claim_first",
             Faults {
-                rules: off(|r| r.claim_first = false),
-                ..QUIET
+                rules: without(|r| r.claim_first = false),
+                ..NO_FAULTS
             },
         ),
         (
             "incarnation_check",
             Faults {
-                rules: off(|r| r.incarnation_check = false),
+                rules: without(|r| r.incarnation_check = false),
                 restarts: 1,
-                ..QUIET
+                ..NO_FAULTS
             },
         ),
         (
             "query_bars",
             Faults {
-                rules: off(|r| r.query_bars = false),
+                rules: without(|r| r.query_bars = false),
                 router_deaths: 1,
-                ..QUIET
+                ..NO_FAULTS
             },
         ),
     ];
@@ -829,7 +865,7 @@
         let seeds = [[1, 2], [2, 1], [1, 1]];
         let found = seeds
             .into_iter()
-            .find_map(|seeds| check(Faults { seeds, ..faults }).broken);
+            .find_map(|seeds| check(Faults { seeds, ..faults }).violation);
         must_break("claims", rule, found);
     }
 }
@@ -840,16 +876,22 @@
         lost_answers: 2,
         late_writes: 2,
         restarts: 1,
-        cuts: 3,
+        session_losses: 3,
         router_deaths: 1,
-        ..QUIET
+        ..NO_FAULTS
     };
-    walks(400, |seed| {
+    random_walks(400, |seed| {
         let start = World::new(&Faults {
             seeds: [seed, seed ^ 1],
             ..faults
         });
-        let fault = walk(start, |w| w.next(&faults), |w| w.broken.clone(), seed, 120)?;
+        let fault = random_walk(
+            start,
+            |w| w.next(&faults),
+            |w| w.violation.clone(),
+            seed,
+            120,
+        )?;
         Some(fault.0)
     });
 }
--- a/tests/check/explore.rs
+++ b/tests/check/explore.rs
@@ -4,72 +4,74 @@
 use pathfinding::prelude::bfs;
 use runrail::logic::Rules;
 
-/// States explored at most; beyond that an exploration is bounded, not exhaustive.
-pub const LIMIT: usize = 330_000;
+/// Maximum number of states that are expanded; an exploration that reaches it isn't
+/// exhaustive.
+pub const MAX_STATES: usize = 330_000;
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug)]
-pub struct Found<S> {
-    /// States whose successors were computed.
+pub struct Exploration<S> {
+    /// Number of states whose successors were computed.
     pub explored: usize,
-    /// Steps up to which every state was explored; `None` when all states were.
-    pub bound: Option<usize>,
-    /// Shortest way to a state that breaks an invariant, with the invariant.
-    pub broken: Option<(String, Vec<S>)>,
+    /// Number of steps within which every state was found; `None` if all reachable states
+    /// were.
+    pub complete_depth: Option<usize>,
+    /// Shortest path to a state that breaks an invariant, and how it is broken.
+    pub violation: Option<(String, Vec<S>)>,
 }
 
-impl<S> Found<S> {
-    /// Describes how far it went.
-    pub fn reach(&self) -> String {
-        match self.bound {
-            None => format!("{} states, all there are", self.explored),
+impl<S> Exploration<S> {
+    /// Describes which part of the state space was explored.
+    pub fn coverage(&self) -> String {
+        match self.complete_depth {
+            None => format!("{} states, all that are reachable", self.explored),
             Some(depth) => format!("{} states, all within {depth} steps", self.explored),
         }
     }
 }
 
-/// A state with its distance from the start, which doesn't tell states apart.
+/// A state with its distance from the start, which is ignored by `Eq` and `Hash`.
 #[derive(Clone)]
-struct At<S> {
+struct DepthState<S> {
     state: S,
     depth: usize,
 }
 
-impl<S: Hash> Hash for At<S> {
+impl<S: Hash> Hash for DepthState<S> {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.state.hash(hasher);
     }
 }
 
-impl<S: PartialEq> PartialEq for At<S> {
+impl<S: PartialEq> PartialEq for DepthState<S> {
     fn eq(&self, other: &Self) -> bool {
         self.state == other.state
     }
 }
 
-impl<S: Eq> Eq for At<S> {}
+impl<S: Eq> Eq for DepthState<S> {}
 
-/// Explores reachable states, nearest first, until one breaks an invariant.
+/// Explores reachable states breadth-first until one breaks an invariant.
 pub fn explore<S, N>(
     limit: usize,
     start: S,
     next: impl Fn(&S) -> N,
-    broken: impl Fn(&S) -> Option<String>,
-) -> Found<S>
+    violation: impl Fn(&S) -> Option<String>,
+) -> Exploration<S>
 where
     S: Clone + Eq + Hash,
     N: IntoIterator<Item = S>,
 {
     let explored = Cell::new(0);
-    let bound = Cell::new(None);
-    let start = At {
+    let complete_depth = Cell::new(None);
+    let start = DepthState {
         state: start,
         depth: 0,
     };
-    let successors = |at: &At<S>| {
+    let successors = |at: &DepthState<S>| {
         if explored.get() >= limit {
-            if bound.get().is_none() {
-                bound.set(Some(at.depth));
+            if complete_depth.get().is_none() {
+                complete_depth.set(Some(at.depth));
             }
             return Vec::new();
         }
@@ -77,27 +79,28 @@
         let depth = at.depth + 1;
         next(&at.state)
             .into_iter()
-            .map(|state| At { state, depth })
+            .map(|state| DepthState { state, depth })
             .collect()
     };
-    let path = bfs(&start, successors, |at| broken(&at.state).is_some());
-    let broken = path.and_then(|path| {
+    let path = bfs(&start, successors, |at| violation(&at.state).is_some());
+    let violation = path.and_then(|path| {
         let path: Vec<_> = path.into_iter().map(|at| at.state).collect();
-        let why = path.last().and_then(&broken)?;
-        Some((why, path))
+        let reason = path.last().and_then(&violation)?;
+        Some((reason, path))
     });
-    Found {
+    Exploration {
         explored: explored.get(),
-        bound: bound.get(),
-        broken,
+        complete_depth: complete_depth.get(),
+        violation,
     }
 }
 
-/// Walks at random, far beyond what can be explored; returns the way to a fault.
-pub fn walk<S, N>(
+/// Follows one random path, longer than an exploration can reach; returns the path if it
+/// ends in a broken invariant.
+pub fn random_walk<S, N>(
     start: S,
     next: impl Fn(&S) -> N,
-    broken: impl Fn(&S) -> Option<String>,
+    violation: impl Fn(&S) -> Option<String>,
     seed: u64,
     steps: usize,
 ) -> Option<(String, Vec<S>)>
@@ -108,19 +111,22 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut path = vec![start];
     for _ in 0..steps {
-        let all: Vec<_> = next(path.last()?).into_iter().collect();
-        let state = all.get(rng.usize(0..all.len().max(1)))?.clone();
-        let fault = broken(&state);
+        let successors: Vec<_> = next(path.last()?).into_iter().collect();
+        let state = successors
+            .get(rng.usize(0..successors.len().max(1)))?
+            .clone();
+        let violated = violation(&state);
         path.push(state);
-        if let Some(why) = fault {
-            return Some((why, path));
+        if let Some(reason) = violated {
+            return Some((reason, path));
         }
     }
     None
 }
 
-/// Random walks by proptest: the same in CI, others with `RUNRAIL_FREE_SEED` set.
-pub fn walks(cases: u32, mut walk: impl FnMut(u64) -> Option<String>) {
+/// Runs random walks with seeds from proptest: the same seeds in each run, or new ones if
+/// `RUNRAIL_FREE_SEED` is set.
+pub fn random_walks(cases: u32, mut walk: impl FnMut(u64) -> Option<String>) {
     use proptest::test_runner::{Config, RngSeed, TestError, TestRunner};
     let free = std::env::var_os("RUNRAIL_FREE_SEED").is_some();
     let rng_seed = if free {
@@ -137,35 +143,35 @@
     let walk = std::cell::RefCell::new(&mut walk);
     let result = TestRunner::new(config).run(&proptest::num::u64::ANY, |seed| {
         match (walk.borrow_mut())(seed) {
-            Some(why) => Err(proptest::test_runner::TestCaseError::fail(why)),
+            Some(reason) => Err(proptest::test_runner::TestCaseError::fail(reason)),
             None => Ok(()),
         }
     });
-    if let Err(TestError::Fail(why, seed)) = result {
-        panic!("seed {seed}: {why}");
+    if let Err(TestError::Fail(reason, seed)) = result {
+        panic!("seed {seed}: {reason}");
     }
 }
 
-/// Prints how far an exploration went, and fails with the way to a fault.
-pub fn must_hold<S>(name: &str, found: &Found<S>, label: impl Fn(&S) -> &str) {
-    println!("{name}: {}", found.reach());
-    if let Some((why, path)) = &found.broken {
+/// Prints the coverage of an exploration; panics with the path to a broken invariant.
+pub fn must_hold<S>(name: &str, found: &Exploration<S>, label: impl Fn(&S) -> &str) {
+    println!("{name}: {}", found.coverage());
+    if let Some((reason, path)) = &found.violation {
         let steps: Vec<_> = path.iter().map(label).collect();
-        panic!("{why}:\n{}", steps.join("\n"));
+        panic!("{reason}:\n{}", steps.join("\n"));
     }
 }
 
-/// Fails unless switching a rule off has led to a fault.
-pub fn must_break<S>(model: &str, rule: &str, broken: Option<(String, Vec<S>)>) {
-    let (why, path) = broken.unwrap_or_else(|| panic!("nothing fails without {rule}"));
+/// Panics unless switching a rule off has broken an invariant.
+pub fn must_break<S>(model: &str, rule: &str, violation: Option<(String, Vec<S>)>) {
+    let (reason, path) = violation.unwrap_or_else(|| panic!("no invariant breaks without {rule}"));
     println!(
-        "{model} without {rule}: {why} after {} steps",
+        "{model} without {rule}: {reason} after {} steps",
         path.len() - 1
     );
 }
 
-/// All rules but one.
-pub fn off(change: fn(&mut Rules)) -> Rules {
+/// All rules except those that `change` switches off.
+pub fn without(change: fn(&mut Rules)) -> Rules {
     let mut rules = Rules::ALL;
     change(&mut rules);
     rules
--- a/tests/check/groups.rs
+++ b/tests/check/groups.rs
@@ -1,11 +1,14 @@
-//! Presence leases, epochs and moves: three instances, two groups, three epochs.
+//! Model of presence leases and epochs: three instances, two groups, two epochs.
 //!
-//! The first record has group 1 at epoch 1 with members a (leader) and b, which
-//! serves when the exploration starts. The second moves b into group 2 at epoch
-//! 2, led by c. Two routers send the orders that follow from either record at
-//! any time, and the release of group 1. Messages are delayed without bound
-//! and lost; agents crash and start again with empty memory, are paused while
-//! time passes, and their clocks drift apart by up to the margin.
+//! In the first record group 1 has epoch 1 and the members a (leader) and b; it serves when
+//! the exploration starts. The second record moves b into group 2 at epoch 2, led by c.
+//! One router sends the assignment of the first record, another one that of the second
+//! record and the release of group 1, each at any time. Messages are delayed without bound
+//! and lost. Agents crash and restart with empty memory, are paused while time passes, and
+//! their clocks drift apart by up to the margin.
+//!
+//! Invariants: no instance serves in two groups, a group runs requests only while the grant
+//! of every member is valid, and a run ordered for one epoch isn't run under another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,22 +22,24 @@
     GroupId, GroupRecord, GroupRole, InstanceId, Member, Millis, ModelKind, Phase, RequestId,
 };
 
-use crate::explore::{explore, must_break, must_hold, off, walk, walks, LIMIT};
-use crate::hashed::{kind, Hashed, Label};
+use crate::explore::{
+    explore, must_break, must_hold, random_walk, random_walks, without, MAX_STATES,
+};
+use crate::hashed::{describe, Hashed, Label};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-const LEASE: Millis = 2;
+const LEASE_MS: Millis = 2;
 
-/// Which faults may come, and how often in one run.
+/// Faults that may occur in one path, and how often.
 #[derive(Clone, Copy)]
 struct Faults {
     rules: Rules,
     margin: Millis,
     crashes: u8,
-    /// Agents that may crash.
-    fragile: &'static [usize],
+    /// Indices of the agents that may crash.
+    may_crash: &'static [usize],
     drifts: u8,
-    /// Time up to which all is explored.
+    /// Time at which the model's clock stops.
     horizon: Millis,
 }
 
@@ -42,21 +47,21 @@
 struct World {
     time: Millis,
     agents: Vec<Hashed<AgentState>>,
-    /// How far each clock is behind true time.
-    behind: [Millis; 3],
-    network: Vec<Letter>,
+    /// How far the clock of each agent is behind `time`.
+    clock_lag: [Millis; 3],
+    network: Vec<Envelope>,
     crashes: u8,
     drifts: u8,
-    /// True time of each member's last grant, by epoch; what really happened.
-    granted: Vec<(usize, u64, Millis)>,
-    /// A handed-over order that broke an invariant.
-    broken: Option<String>,
-    last: Label,
+    /// Latest grant of each member for each epoch: member, epoch, and `time` of the grant.
+    grants: Vec<(usize, u64, Millis)>,
+    /// Invariant that a started run has broken.
+    violation: Option<String>,
+    last_step: Label,
 }
 
-/// A message in flight, with the incarnation that sent it.
+/// A message in transit, with the incarnation that sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Letter {
+struct Envelope {
     from: usize,
     incarnation: u64,
     to: usize,
@@ -96,7 +101,7 @@
     }
 }
 
-/// Every record that a router may know.
+/// All records that a router may know.
 fn records() -> [GroupRecord; 2] {
     [record(1, 1, &[0, 1]), record(2, 2, &[2, 1])]
 }
@@ -109,63 +114,63 @@
     }
 }
 
-fn fresh(i: usize, incarnation: u64, clock: Millis, faults: &Faults) -> AgentState {
-    let knobs = AgentKnobs {
-        lease_ms: LEASE,
+fn new_agent(i: usize, incarnation: u64, clock: Millis, faults: &Faults) -> AgentState {
+    let params = AgentKnobs {
+        lease_ms: LEASE_MS,
         margin_ms: faults.margin,
         ask_ms: 1,
         slots: 1,
         report_ms: 1_000,
         ..AgentKnobs::default()
     };
-    let mut state = AgentState::new(id(i), incarnation, clock, knobs);
+    let mut state = AgentState::new(id(i), incarnation, clock, params);
     state.rules = faults.rules;
     state
 }
 
 impl World {
     fn new(faults: &Faults) -> Self {
-        // Agents that have run for a while need not wait any more.
+        // The agents have been running for longer than the wait after a start.
         let agents = (0..3).map(|i| {
-            let mut agent = fresh(i, 1, 0, faults);
+            let mut agent = new_agent(i, 1, 0, faults);
             agent.ready_at = 0;
             Hashed::new(agent)
         });
         let start = Self {
             time: 0,
             agents: agents.collect(),
-            behind: [0; 3],
+            clock_lag: [0; 3],
             network: Vec::new(),
             crashes: faults.crashes,
             drifts: faults.drifts,
-            granted: Vec::new(),
-            broken: None,
-            last: Label("start".into()),
+            grants: Vec::new(),
+            violation: None,
+            last_step: Label("start".into()),
         };
-        start.serving()
+        start.form_group()
     }
 
-    /// Group 1 has formed.
-    fn serving(self) -> Self {
+    /// Forms group 1.
+    fn form_group(self) -> Self {
         let [first, _] = records();
         let message = Message::Assign(Box::new(first));
         let from = router_peer("r1");
         let mut world = self.feed(0, Event::Message { from, message }, "start".into());
         while !world.network.is_empty() {
-            let mut all = Vec::new();
-            world.deliver(&mut all);
-            world = all.swap_remove(0);
+            let mut successors = Vec::new();
+            world.deliver(&mut successors);
+            world = successors.swap_remove(0);
         }
         world
     }
 
     fn clock(&self, i: usize) -> Millis {
-        self.time - self.behind[i]
+        self.time - self.clock_lag[i]
     }
 
     fn feed(&self, i: usize, event: Event, what: String) -> World {
         let mut next = self.clone();
-        next.last = Label(what);
+        next.last_step = Label(what);
         let mut node = Node::Agent(Box::new(self.agents[i].clone_inner()));
         let ordered = match &event {
             Event::Message {
@@ -182,7 +187,7 @@
             match effect {
                 Effect::Send { to, message } => next.send(i, &to, message),
                 Effect::Endpoint(EndpointCall::Load(order)) => {
-                    // Loads end at once here; slow ones only close groups longer.
+                    // Loads end at once: a slow load only delays the opening of a group.
                     let event = Event::Endpoint(EndpointEvent::Loaded {
                         epoch: order.epoch,
                         ok: true,
@@ -190,8 +195,8 @@
                     effects.extend(step(&mut node, self.clock(i), event));
                 }
                 Effect::Endpoint(EndpointCall::Start(order)) => {
-                    next.hand_over(i, order.epoch, order.valid_until, ordered);
-                    // What was handed over is judged; it ends at once.
+                    next.on_start(i, order.epoch, order.valid_until, ordered);
+                    // The run ends as soon as the invariants have been checked.
                     let result = RunResult::Complete(200);
                     let event = Event::Endpoint(EndpointEvent::Ended {
                         run: order.run,
@@ -203,34 +208,34 @@
             }
         }
         if let Node::Agent(state) = node {
-            next.note_grant(i, &state);
+            next.record_grant(i, &state);
             next.agents[i] = Hashed::new(*state);
         }
         next
     }
 
-    fn note_grant(&mut self, i: usize, state: &AgentState) {
+    fn record_grant(&mut self, i: usize, state: &AgentState) {
         let Some(grant) = &state.grant else {
             return;
         };
         let until = grant.until;
         let renewed = self.agents[i].grant.as_ref().map(|g| (g.epoch, g.until));
         if renewed != Some((grant.epoch, until)) {
-            self.granted
-                .retain(|(m, e, _)| (*m, *e) != (i, grant.epoch));
-            self.granted.push((i, grant.epoch, self.time));
-            self.granted.sort_unstable();
+            self.grants.retain(|(m, e, _)| (*m, *e) != (i, grant.epoch));
+            self.grants.push((i, grant.epoch, self.time));
+            self.grants.sort_unstable();
         }
     }
 
     fn send(&mut self, from: usize, to: &InstanceId, message: Message) {
-        // Routers are not modelled as nodes; what goes to them is dropped.
+        // Routers aren't modelled as nodes; messages to them are dropped.
         let Some(to) = NAMES.iter().position(|n| *n == to.as_str()) else {
             return;
         };
-        // One letter a direction: a newer one takes the place of one not yet heard.
+        // At most one message per sender and receiver is in transit: a newer one replaces
+        // one that was not delivered yet.
         self.network.retain(|l| (l.from, l.to) != (from, to));
-        self.network.push(Letter {
+        self.network.push(Envelope {
             from,
             incarnation: self.agents[from].incarnation,
             to,
@@ -239,8 +244,8 @@
         self.network.sort_by_key(|l| (l.from, l.to));
     }
 
-    /// The endpoint takes an order; this is where the promises are judged.
-    fn hand_over(&mut self, i: usize, epoch: u64, valid_until: Millis, ordered: Option<u64>) {
+    /// Checks the invariants when an endpoint gets an order to start a run.
+    fn on_start(&mut self, i: usize, epoch: u64, valid_until: Millis, ordered: Option<u64>) {
         if self.clock(i) >= valid_until {
             return;
         }
@@ -249,17 +254,17 @@
             .find(|r| r.epoch == epoch)
             .expect("a known epoch");
         if ordered.is_some_and(|o| o != epoch) {
-            self.broken = Some(format!(
+            self.violation = Some(format!(
                 "a run ordered for epoch {ordered:?} ran under {epoch}"
             ));
         }
         for member in &record.members {
             let m = index(&member.instance);
-            let at = self.granted.iter().find(|(g, e, _)| (*g, *e) == (m, epoch));
-            // A lease, one unit of drift: the longest that a grant may count.
-            let fresh = at.is_some_and(|(_, _, at)| self.time < at + LEASE + 1);
-            if !fresh {
-                self.broken = Some(format!(
+            let at = self.grants.iter().find(|(g, e, _)| (*g, *e) == (m, epoch));
+            // A grant may count for at most the lease and one unit of drift.
+            let is_valid = at.is_some_and(|(_, _, at)| self.time < at + LEASE_MS + 1);
+            if !is_valid {
+                self.violation = Some(format!(
                     "group served at epoch {epoch} while {} was missing",
                     NAMES[m]
                 ));
@@ -268,28 +273,28 @@
     }
 
     fn next(&self, faults: &Faults) -> Vec<World> {
-        let mut all = Vec::new();
+        let mut successors = Vec::new();
         if self.time < faults.horizon {
             for paused in [None, Some(0), Some(1), Some(2)] {
-                self.pass_time(paused, &mut all);
+                self.advance_time(paused, &mut successors);
             }
         }
-        self.deliver(&mut all);
-        self.order(&mut all);
-        for i in faults.fragile {
-            self.crash(*i, faults, &mut all);
+        self.deliver(&mut successors);
+        self.send_orders(&mut successors);
+        for i in faults.may_crash {
+            self.crash(*i, faults, &mut successors);
         }
-        all
+        successors
     }
 
-    /// One unit of time passes; all agents but the paused one are polled.
-    fn pass_time(&self, paused: Option<usize>, all: &mut Vec<World>) {
+    /// One unit of time passes, and all agents except the paused one get a tick.
+    fn advance_time(&self, paused: Option<usize>, successors: &mut Vec<World>) {
         let drifting = (0..3).map(Some).filter(|_| self.drifts > 0);
         for slow in std::iter::once(None).chain(drifting) {
             let mut next = self.clone();
             next.time += 1;
             if let Some(i) = slow {
-                next.behind[i] += 1;
+                next.clock_lag[i] += 1;
                 next.drifts -= 1;
             }
             for i in (0..3).filter(|i| Some(*i) != paused) {
@@ -297,35 +302,35 @@
             }
             let name = |i: Option<usize>| i.map_or("nobody", |i| NAMES[i]);
             let what = format!(
-                "time passes; paused: {}, clock stood: {}",
+                "time passes; paused: {}, clock stopped: {}",
                 name(paused),
                 name(slow)
             );
-            next.last = Label(what);
-            all.push(next);
+            next.last_step = Label(what);
+            successors.push(next);
         }
     }
 
-    fn deliver(&self, all: &mut Vec<World>) {
+    fn deliver(&self, successors: &mut Vec<World>) {
         for n in 0..self.network.len() {
             let mut less = self.clone();
-            let letter = less.network.remove(n);
-            let (from, to) = (NAMES[letter.from], NAMES[letter.to]);
-            let what = format!("{to} hears {} from {from}", kind(&letter.message));
+            let envelope = less.network.remove(n);
+            let (from, to) = (NAMES[envelope.from], NAMES[envelope.to]);
+            let what = format!("{to} receives {} from {from}", describe(&envelope.message));
             let event = Event::Message {
                 from: Peer {
-                    id: id(letter.from),
-                    incarnation: letter.incarnation,
+                    id: id(envelope.from),
+                    incarnation: envelope.incarnation,
                     role: PeerRole::Agent,
                 },
-                message: letter.message.clone_inner(),
+                message: envelope.message.clone_inner(),
             };
-            all.push(less.feed(letter.to, event, what));
+            successors.push(less.feed(envelope.to, event, what));
         }
     }
 
-    /// Two routers: one knows the first record, one the second.
-    fn order(&self, all: &mut Vec<World>) {
+    /// Sends the orders of two routers: r1 knows the first record, r2 the second.
+    fn send_orders(&self, successors: &mut Vec<World>) {
         let [first, second] = records();
         let release = Message::Release {
             group: first.id.clone(),
@@ -337,26 +342,27 @@
             ("r2", 2, assign(second)),
             ("r2", 0, release),
         ] {
-            let what = format!("{router} tells {}: {}", NAMES[leader], kind(&message));
+            let what = format!("{router} sends {}: {}", NAMES[leader], describe(&message));
             let from = router_peer(router);
-            all.push(self.feed(leader, Event::Message { from, message }, what));
+            successors.push(self.feed(leader, Event::Message { from, message }, what));
         }
     }
 
-    /// What a run ordered by either record would do now; judged, not kept.
-    fn probe(&self) -> Option<String> {
+    /// Orders a run of each record at each open leader, without keeping the resulting state;
+    /// returns the first broken invariant.
+    fn find_invalid_run(&self) -> Option<String> {
         let leaders = (0..3).filter(|i| self.agents[*i].open(self.clock(*i)));
         leaders
             .flat_map(|i| records().map(|r| (i, r)))
             .find_map(|(i, record)| {
-                let message = Message::Run(Box::new(self.run(&record, i)));
+                let message = Message::Run(Box::new(self.run_order(&record, i)));
                 let from = router_peer("r1");
                 self.feed(i, Event::Message { from, message }, String::new())
-                    .broken
+                    .violation
             })
     }
 
-    fn run(&self, record: &GroupRecord, leader: usize) -> RunOrder {
+    fn run_order(&self, record: &GroupRecord, leader: usize) -> RunOrder {
         RunOrder {
             run: RunId {
                 request: RequestId {
@@ -381,23 +387,24 @@
         }
     }
 
-    fn crash(&self, i: usize, faults: &Faults, all: &mut Vec<World>) {
+    fn crash(&self, i: usize, faults: &Faults, successors: &mut Vec<World>) {
         if self.crashes == 0 {
             return;
         }
         let mut next = self.clone();
         next.crashes -= 1;
         let incarnation = self.agents[i].incarnation + 1;
-        next.agents[i] = Hashed::new(fresh(i, incarnation, self.clock(i), faults));
-        // What it sent before may still arrive; its sessions as a new process are new.
+        next.agents[i] = Hashed::new(new_agent(i, incarnation, self.clock(i), faults));
+        // Messages that it sent may still arrive. Those to it are lost, as the new process
+        // has new sessions.
         next.network.retain(|l| l.to != i);
-        next.last = Label(format!("{} crashes and starts again", NAMES[i]));
-        all.push(next);
+        next.last_step = Label(format!("{} crashes and restarts", NAMES[i]));
+        successors.push(next);
     }
 
-    fn broken(&self) -> Option<String> {
-        if let Some(why) = self.broken.clone().or_else(|| self.probe()) {
-            return Some(why);
+    fn violation(&self) -> Option<String> {
+        if let Some(reason) = self.violation.clone().or_else(|| self.find_invalid_run()) {
+            return Some(reason);
         }
         let open: Vec<_> = (0..3)
             .filter(|i| self.agents[*i].open(self.clock(*i)))
@@ -425,12 +432,12 @@
     }
 }
 
-fn check(faults: Faults) -> crate::explore::Found<World> {
+fn check(faults: Faults) -> crate::explore::Exploration<World> {
     explore(
-        LIMIT,
+        MAX_STATES,
         World::new(&faults),
         |w| w.next(&faults),
-        World::broken,
+        World::violation,
     )
 }
 
@@ -438,43 +445,43 @@
     rules: Rules::ALL,
     margin: 1,
     crashes: 0,
-    fragile: &[],
+    may_crash: &[],
     drifts: 1,
     horizon: 4,
 };
 
 const MEMBER_CRASH: Faults = Faults {
     crashes: 1,
-    fragile: &[1],
+    may_crash: &[1],
     drifts: 0,
     ..DRIFT
 };
 
 const ANY_CRASH: Faults = Faults {
-    fragile: &[0, 1, 2],
+    may_crash: &[0, 1, 2],
     horizon: 3,
     ..MEMBER_CRASH
 };
 
-fn holds(name: &str, faults: Faults) {
+fn check_holds(name: &str, faults: Faults) {
     assert_eq!(faults.rules, Rules::default());
     let name = format!("groups, {name}, up to time {}", faults.horizon);
-    must_hold(&name, &check(faults), |w| &w.last.0);
+    must_hold(&name, &check(faults), |w| &w.last_step.0);
 }
 
 #[test]
 fn no_instance_serves_in_two_groups_and_no_group_lacks_one_through_drift() {
-    holds("one unit of drift", DRIFT);
+    check_holds("one unit of drift", DRIFT);
 }
 
 #[test]
 fn no_instance_serves_in_two_groups_and_no_group_lacks_one_when_the_moved_member_crashes() {
-    holds("crash of the moved member", MEMBER_CRASH);
+    check_holds("crash of the moved member", MEMBER_CRASH);
 }
 
 #[test]
 fn no_instance_serves_in_two_groups_and_no_group_lacks_one_when_anyone_crashes() {
-    holds("crash of any agent", ANY_CRASH);
+    check_holds("crash of any agent", ANY_CRASH);
 }
 
 #[test]
@@ -483,42 +490,42 @@
         (
             "start_wait",
             Faults {
-                rules: off(|r| r.start_wait = false),
+                rules: without(|r| r.start_wait = false),
                 ..MEMBER_CRASH
             },
         ),
         (
             "early_clock",
             Faults {
-                rules: off(|r| r.early_clock = false),
+                rules: without(|r| r.early_clock = false),
                 ..DRIFT
             },
         ),
         (
             "exclusive_grant",
             Faults {
-                rules: off(|r| r.exclusive_grant = false),
+                rules: without(|r| r.exclusive_grant = false),
                 ..DRIFT
             },
         ),
         (
             "epoch_fence",
             Faults {
-                rules: off(|r| r.epoch_fence = false),
+                rules: without(|r| r.epoch_fence = false),
                 ..DRIFT
             },
         ),
         (
             "all_present",
             Faults {
-                rules: off(|r| r.all_present = false),
+                rules: without(|r| r.all_present = false),
                 ..DRIFT
             },
         ),
         ("margin for drift", Faults { margin: 0, ..DRIFT }),
     ];
     for (rule, faults) in table {
-        must_break("groups", rule, check(faults).broken);
+        must_break("groups", rule, check(faults).violation);
     }
 }
 
@@ -526,14 +533,14 @@
 fn long_random_runs_break_nothing() {
     let faults = Faults {
         crashes: 4,
-        fragile: &[0, 1, 2],
+        may_crash: &[0, 1, 2],
         drifts: 1,
         horizon: 40,
         ..DRIFT
     };
-    walks(300, |seed| {
+    random_walks(300, |seed| {
         let start = World::new(&faults);
-        let fault = walk(start, |w| w.next(&faults), World::broken, seed, 250)?;
-        Some(fault.0)
+        let found = random_walk(start, |w| w.next(&faults), World::violation, seed, 250)?;
+        Some(found.0)
     });
 }
--- a/tests/check/hashed.rs
+++ b/tests/check/hashed.rs
@@ -3,9 +3,9 @@
 
 use runrail::message::Message;
 
-/// A shared value that is hashed once.
+/// A shared value whose hash is computed once.
 ///
-/// States share what didn't change, so that millions of them fit in memory.
+/// Successive states share the values that didn't change, which saves memory.
 #[derive(Clone, Debug)]
 pub struct Hashed<T> {
     hash: u64,
@@ -25,8 +25,8 @@
 }
 
 impl<T> Hashed<T> {
-    /// The hash, to sort by.
-    pub fn key(&self) -> u64 {
+    /// The hash, as a sort key.
+    pub fn sort_key(&self) -> u64 {
         self.hash
     }
 }
@@ -54,7 +54,7 @@
 
 impl<T: Eq> Eq for Hashed<T> {}
 
-/// A text for people that doesn't tell states apart.
+/// A description for reports, which is ignored by `Eq` and `Hash`.
 #[derive(Clone, Debug)]
 pub struct Label(pub String);
 
@@ -70,8 +70,9 @@
 
 impl Eq for Label {}
 
-/// Short name of a message; whole messages would fill the memory.
-pub fn kind(message: &Message) -> String {
+/// Short description of a message; labels that hold whole messages would take too much
+/// memory.
+pub fn describe(message: &Message) -> String {
     match message {
         Message::Assign(record) => format!("Assign at epoch {}", record.epoch),
         Message::Release { epoch, .. } => format!("Release at epoch {epoch}"),
--- a/tests/check/main.rs
+++ b/tests/check/main.rs
@@ -1,7 +1,8 @@
-//! Exhaustive check of the protocol over the real reducer, for small sizes.
+//! Model check of the protocol: explores small systems that run the product's own `step`.
 //!
-//! Each module holds one model: what may happen, and what must always hold.
-//! A mutation switches one safety rule off; the check must then fail.
+//! Each of `bundles`, `claims` and `groups` is one model: which events may happen in a
+//! state, and which invariants must hold in every state. Each model also checks that an
+//! invariant breaks when a safety rule it needs is switched off.
 
 mod bundles;
 mod claims;
