--- a/tests/check/bundles.rs
+++ b/tests/check/bundles.rs
@@ -255,6 +255,7 @@
         }
     }
 
+    /// Delivers a message to the agent; returns whether the agent has started a run.
     fn send_to_agent(&mut self, r: usize, message: Message) -> bool {
         let from = self.peer(r);
         let mut node = Node::Agent(Box::new(AgentState::clone(&self.agent)));
--- a/tests/check/claims.rs
+++ b/tests/check/claims.rs
@@ -620,7 +620,7 @@
             }
             if self.late_writes > 0 {
                 self.add_successor(
-                    format!("{name}'s swap fails and is still under way"),
+                    format!("{name}'s swap fails and is still in progress"),
                     successors,
                     |w| {
                         w.late_writes -= 1;
