--- a/src/logic/agent/once_entry.rs
+++ b/src/logic/agent/once_entry.rs
@@ -1,7 +1,7 @@
 use super::OnceState;
 use crate::types::Millis;
 
-/// Entry of [`OnceMemory`].
+/// Entry of [`OnceMemory`](super::OnceMemory).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OnceEntry {
     /// Highest attempt of the claim that this entry covers.
--- a/src/logic/direct/crashes/mod.rs
+++ b/src/logic/direct/crashes/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A run that breaks off before its first event makes its request a suspect, and its
 //! endpoint is probed. If that has crashed, the crash is counted against the request, at all
-//! routers. A request with [`MIN_BLOCKING_CRASHES`] crashes is refused.
+//! routers. A request with `MIN_BLOCKING_CRASHES` crashes is refused.
 //!
 //! A crash breaks off all runs of the endpoint, so that other requests are suspected as well.
 //! They are unlikely to run at the endpoint of the next crash too, and are cleared once they
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -364,8 +364,9 @@
     }
 }
 
-/// A run at the endpoint has failed: the router backs off from it, for longer with each
-/// failure in a row. A refused connection gets the shortest backoff and counts as silence.
+/// A run at the endpoint has failed: the router backs off from it, at first for a quarter of
+/// `shun_ms` and for longer with each failure in a row. A refused connection gets half of
+/// `shun_ms` however many failures came before, and counts as silence.
 pub(super) fn on_run_failure(
     state: &mut DirectState,
     now: Millis,
