--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -6,7 +6,7 @@
 use super::command::{no_more, optional};
 use super::operator_client::OperatorClient;
 use super::{CliError, CliErrorKind};
-use crate::observe::LoggedNote;
+use crate::observe::LoggedEvent;
 
 /// Shows the events that mention a subject.
 pub(super) fn explain(mut args: Arguments) -> Result<(), CliError> {
@@ -24,13 +24,13 @@
         println!("{answer}");
         return Ok(());
     }
-    let notes: Vec<LoggedNote> = serde_json::from_value(answer)
+    let events: Vec<LoggedEvent> = serde_json::from_value(answer)
         .map_err(|e| CliError::new(CliErrorKind::Refused, e.to_string()))?;
-    if notes.is_empty() {
+    if events.is_empty() {
         println!("this router has no event about {subject}; ask the others, too");
     }
-    for note in notes {
-        println!("{:>10.3} s  {}", note.at_ms as f64 / 1_000.0, note.text);
+    for event in events {
+        println!("{:>10.3} s  {}", event.at_ms as f64 / 1_000.0, event.text);
     }
     Ok(())
 }
--- a/src/host/node_actor.rs
+++ b/src/host/node_actor.rs
@@ -9,7 +9,7 @@
 use crate::endpoint::EndpointClient;
 use crate::etcd::{KvClient, ListClient, Watcher};
 use crate::logic::router::{AnswerPart, OperatorReply};
-use crate::logic::{step, Effect, Event, Node, Note, NoteCode};
+use crate::logic::{step, Effect, Event, LogCode, LogEvent, Node};
 use crate::observe::{EventLog, Metrics};
 use crate::types::RequestId;
 use crate::wire::Net;
@@ -89,7 +89,7 @@
             operator_replies: HashMap::new(),
             next_job: 0,
         };
-        actor.log_event(&Note::new(NoteCode::Started));
+        actor.log_event(&LogEvent::new(LogCode::Started));
         actor.tick(cx);
         Some(actor)
     }
@@ -124,7 +124,7 @@
                 let _ = reply.send(answer);
             }
             HostEvent::Refused { peer, why } => {
-                let event = Note::new(NoteCode::SessionRefused)
+                let event = LogEvent::new(LogCode::SessionRefused)
                     .with("peer", peer)
                     .with("why", why);
                 self.log_event(&event);
@@ -135,17 +135,17 @@
 
     fn log_session_event(&mut self, event: &Event) {
         let log_event = match event {
-            Event::Up(peer) => Note::new(NoteCode::SessionUp)
+            Event::Up(peer) => LogEvent::new(LogCode::SessionUp)
                 .with("peer", &peer.id)
                 .with("incarnation", peer.incarnation),
-            Event::Down(id) => Note::new(NoteCode::SessionDown).with("peer", id),
-            Event::Stop => Note::new(NoteCode::Stopping),
+            Event::Down(id) => LogEvent::new(LogCode::SessionDown).with("peer", id),
+            Event::Stop => LogEvent::new(LogCode::Stopping),
             _ => return,
         };
         self.log_event(&log_event);
     }
 
-    fn log_event(&mut self, event: &Note) {
+    fn log_event(&mut self, event: &LogEvent) {
         self.log.write(self.environment.clock.now(), event);
         self.environment
             .metrics
@@ -198,7 +198,7 @@
                     let _ = sender.send(reply);
                 }
             }
-            Effect::Note(event) => self.log_event(&event),
+            Effect::Log(event) => self.log_event(&event),
             Effect::Measure {
                 metric,
                 account,
@@ -211,7 +211,7 @@
             // Only routers with direct links have these; their host is `crate::link`.
             Effect::Direct(_) => {}
             Effect::Exit => {
-                self.log_event(&Note::new(NoteCode::Stopped));
+                self.log_event(&LogEvent::new(LogCode::Stopped));
                 stop!(cx);
             }
         }
--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -10,7 +10,7 @@
 use super::{looks, peers, runs, store};
 use crate::host::{Clock, Suspension};
 use crate::logic::direct::{DirectEffect, DirectEvent, Problem};
-use crate::logic::{step, Effect, Event, Node, Note, NoteCode};
+use crate::logic::{step, Effect, Event, LogCode, LogEvent, Node};
 use crate::observe::{exposition, EventLog, LabelledCount, Metrics};
 use crate::types::Millis;
 
@@ -45,7 +45,7 @@
             log: EventLog::default(),
             metrics,
         };
-        actor.log_event(&Note::new(NoteCode::Started));
+        actor.log_event(&LogEvent::new(LogCode::Started));
         Some(actor)
     }
 
@@ -76,7 +76,7 @@
             }
         };
         if matches!(event, Event::Stop) {
-            self.log_event(&Note::new(NoteCode::Stopping));
+            self.log_event(&LogEvent::new(LogCode::Stopping));
             self.shared.stopping.set(true);
         }
         for effect in step(&mut self.node, self.clock.now(), event) {
@@ -90,7 +90,7 @@
     /// Handles a suspension of the machine for `ms` milliseconds: answers of calls in flight
     /// may be that old, and peers may have closed idle connections in the meantime.
     fn on_suspension(&mut self, ms: Millis) {
-        self.log_event(&Note::new(NoteCode::Suspended).with("ms", ms));
+        self.log_event(&LogEvent::new(LogCode::Suspended).with("ms", ms));
         self.shared.pool.clear();
         self.restart_watches();
     }
@@ -121,7 +121,7 @@
         exposition(&self.metrics.rows(), &gauges, &counts)
     }
 
-    fn log_event(&mut self, event: &Note) {
+    fn log_event(&mut self, event: &LogEvent) {
         self.log.write(self.clock.now(), event);
     }
 
@@ -134,7 +134,7 @@
                 at.set(self.shared.position(from - 1));
                 begin.notify_one();
             }
-            Effect::Note(event) => self.log_event(&event),
+            Effect::Log(event) => self.log_event(&event),
             Effect::Measure {
                 metric,
                 account,
@@ -142,7 +142,7 @@
                 value,
             } => self.metrics.record(metric, &account, &class, value),
             Effect::Exit => {
-                self.log_event(&Note::new(NoteCode::Stopped));
+                self.log_event(&LogEvent::new(LogCode::Stopped));
                 self.shared.exit.notify_one();
             }
             _ => {}
--- a/src/link/looks.rs
+++ b/src/link/looks.rs
@@ -12,7 +12,7 @@
 use super::fault::Fault;
 use super::shared::Shared;
 use crate::logic::direct::{DirectEvent, GroupOrder, LookResult, OrderResult};
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 use crate::types::InstanceId;
 
 /// Longest time for a probe.
@@ -64,7 +64,7 @@
 
 /// Logs an answer that was received and is invalid.
 pub(super) fn log_unreadable(what: &str, from: &str, why: &str) {
-    let event = Note::new(NoteCode::AnswerUnread)
+    let event = LogEvent::new(LogCode::AnswerUnread)
         .with("what", what)
         .with("from", from)
         .with("why", why);
--- a/src/link/run_direct.rs
+++ b/src/link/run_direct.rs
@@ -22,7 +22,7 @@
 use crate::host::Clock;
 use crate::logic::direct::{DirectEvent, DirectState, ListPace};
 use crate::logic::router::StoreChange;
-use crate::logic::{Event, Node, Note, NoteCode};
+use crate::logic::{Event, LogCode, LogEvent, Node};
 use crate::observe::Metrics;
 use crate::settings::DirectSettings;
 use crate::types::{CallerLimits, FigureGap, InstanceId, StorePosition};
@@ -166,7 +166,7 @@
                 shared.limits.set(routing.limits);
                 shared.send_direct(DirectEvent::Routing(routing.into()));
             }
-            Err(why) => log_event(NoteCode::RoutingUnread, &why),
+            Err(why) => log_event(LogCode::RoutingUnread, &why),
         }
     };
     // The watch is for a prefix, which other keys may share.
@@ -201,7 +201,7 @@
     let read = |entry: &crate::logic::router::StoreEntry| match (shared.adapter.entry)(entry) {
         Ok(read) => Some(read),
         Err(why) => {
-            log_event(NoteCode::EntryUnread, &why);
+            log_event(LogCode::EntryUnread, &why);
             None
         }
     };
@@ -259,7 +259,7 @@
                 _ = term.recv() => send_stop(&shared),
                 _ = interrupt.recv() => send_stop(&shared),
                 _ = hup.recv() => {
-                    log_event(NoteCode::SettingsChanged, "SIGHUP");
+                    log_event(LogCode::SettingsChanged, "SIGHUP");
                 }
             }
         }
@@ -268,7 +268,7 @@
 
 /// Logs a value that is missing in the operators' document and the default used for it.
 fn log_missing_value(missing: &FigureGap) {
-    let event = Note::new(NoteCode::FigureMissing)
+    let event = LogEvent::new(LogCode::ValueMissing)
         .with("place", &missing.place)
         .with("found", &missing.found)
         .with("used", &missing.used);
@@ -276,8 +276,8 @@
 }
 
 /// Logs an event of the host, which the reducer doesn't see.
-fn log_event(code: NoteCode, why: &str) {
-    let event = Note::new(code).with("why", why);
+fn log_event(code: LogCode, why: &str) {
+    let event = LogEvent::new(code).with("why", why);
     log::log!(target: "runrail", code.level(), "{event}");
 }
 
--- a/src/link/store_gate.rs
+++ b/src/link/store_gate.rs
@@ -4,7 +4,7 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 
 /// Bound of the random pause after the first failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
@@ -92,7 +92,7 @@
         if failures >= LOST_FAILURES {
             let lasted = since.map_or(0, |s| s.elapsed().as_millis());
             log_event(
-                Note::new(NoteCode::StoreUp)
+                LogEvent::new(LogCode::StoreUp)
                     .with("failures", failures)
                     .with("lasted", lasted),
             );
@@ -112,7 +112,7 @@
             self.failing_since.set(Some(Instant::now()));
         }
         if failures + 1 == LOST_FAILURES {
-            log_event(Note::new(NoteCode::StoreDown).with("failures", failures + 1));
+            log_event(LogEvent::new(LogCode::StoreDown).with("failures", failures + 1));
         }
         let cap = (CAP_PER_ROUTER * routers as u32).clamp(MIN_CAP, MAX_CAP);
         let bound = (FIRST_PAUSE * 2u32.saturating_pow(failures.min(8))).min(cap);
@@ -142,6 +142,6 @@
     }
 }
 
-fn log_event(event: Note) {
+fn log_event(event: LogEvent) {
     log::log!(target: "runrail", event.code.level(), "{event}");
 }
--- a/src/logic/agent/grant.rs
+++ b/src/logic/agent/grant.rs
@@ -1,5 +1,5 @@
 use super::{load, AgentState};
-use crate::logic::{Effect, Note, NoteCode, Peer};
+use crate::logic::{Effect, LogCode, LogEvent, Peer};
 use crate::message::{LeaseAsk, Message};
 use crate::types::{GroupId, InstanceId, Millis};
 
@@ -74,11 +74,11 @@
         until,
     });
     if is_new {
-        let event = Note::new(NoteCode::PresenceGranted)
+        let event = LogEvent::new(LogCode::PresenceGranted)
             .with("group", &request.group)
             .with("epoch", request.epoch)
             .with("leader", &from.id);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
     load::ensure_loaded(state, now, request, until, out);
     true
@@ -122,10 +122,10 @@
         .is_some_and(|g| is_held_by(g, from) && &g.group == group && g.epoch <= epoch);
     if matches {
         state.grant = None;
-        let event = Note::new(NoteCode::PresenceReturned)
+        let event = LogEvent::new(LogCode::PresenceReturned)
             .with("group", group)
             .with("epoch", epoch);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
 }
 
@@ -137,9 +137,9 @@
     if now < grant.until {
         return;
     }
-    let event = Note::new(NoteCode::PresenceLapsed)
+    let event = LogEvent::new(LogCode::PresenceLapsed)
         .with("group", &grant.group)
         .with("epoch", grant.epoch);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     state.grant = None;
 }
--- a/src/logic/agent/lead.rs
+++ b/src/logic/agent/lead.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use super::{grant, leave, runs, AgentState};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::message::{LeaseAsk, Message, Refusal};
 use crate::types::{GroupId, GroupRecord, InstanceId, Millis, Phase};
 
@@ -107,11 +107,11 @@
     }
     end_lead(state, Some(&record), out);
     state.seen_epoch = record.epoch;
-    let event = Note::new(NoteCode::LeadTaken)
+    let event = LogEvent::new(LogCode::LeadTaken)
         .with("group", &record.id)
         .with("epoch", record.epoch)
         .with("members", record.members.len());
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     for member in record.members.iter().filter(|m| m.instance != state.id) {
         out.push(Effect::Dial {
             to: member.instance.clone(),
@@ -237,12 +237,12 @@
         return;
     };
     if lead.record.epoch == epoch && seen > epoch {
-        let event = Note::new(NoteCode::PresenceDenied)
+        let event = LogEvent::new(LogCode::PresenceDenied)
             .with("group", &lead.record.id)
             .with("epoch", epoch)
             .with("member", from)
             .with("seen", seen);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
 }
 
@@ -271,8 +271,8 @@
         return;
     }
     lead.draining = true;
-    let event = Note::new(NoteCode::Draining).with("group", &lead.record.id);
-    out.push(Effect::Note(event));
+    let event = LogEvent::new(LogCode::Draining).with("group", &lead.record.id);
+    out.push(Effect::Log(event));
     runs::refuse_waiting(state, &Refusal::Draining, out);
 }
 
@@ -286,10 +286,10 @@
     };
     runs::refuse_waiting(state, &Refusal::Epoch, out);
     runs::cancel_running(state, out);
-    let event = Note::new(NoteCode::LeadEnded)
+    let event = LogEvent::new(LogCode::LeadEnded)
         .with("group", &lead.record.id)
         .with("epoch", lead.record.epoch);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     for member in &lead.record.members {
         if next.is_some_and(|n| n.has(&member.instance)) {
             continue;
@@ -339,9 +339,9 @@
     if lead.was_open != open {
         lead.was_open = open;
         let code = if open {
-            NoteCode::GroupOpen
+            LogCode::GroupOpen
         } else {
-            NoteCode::GroupClosed
+            LogCode::GroupClosed
         };
         let missing: Vec<_> = lead
             .leases
@@ -349,11 +349,11 @@
             .filter(|(_, h)| now >= h.until)
             .map(|(i, _)| i.to_string())
             .collect();
-        let event = Note::new(code)
+        let event = LogEvent::new(code)
             .with("group", &lead.record.id)
             .with("epoch", lead.record.epoch)
             .with("missing", missing.join(","));
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
     let planned = lead.record.phase == Phase::Draining;
     let ends = planned || lead.released || lead.leaving_at.is_some();
--- a/src/logic/agent/leave.rs
+++ b/src/logic/agent/leave.rs
@@ -2,7 +2,7 @@
 //! then the process exits.
 
 use super::{lead, AgentState};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Begins to leave; a second call changes nothing.
@@ -11,7 +11,7 @@
         return;
     }
     state.leaving_at = Some(now);
-    out.push(Effect::Note(Note::new(NoteCode::Leaving)));
+    out.push(Effect::Log(LogEvent::new(LogCode::Leaving)));
     if let Some(lead) = &mut state.lead {
         lead.leaving_at.get_or_insert(now);
     }
--- a/src/logic/agent/load.rs
+++ b/src/logic/agent/load.rs
@@ -1,5 +1,5 @@
 use super::AgentState;
-use crate::logic::{Effect, EndpointCall, LoadOrder, Note, NoteCode};
+use crate::logic::{Effect, EndpointCall, LoadOrder, LogCode, LogEvent};
 use crate::message::LeaseAsk;
 use crate::types::Millis;
 
@@ -87,10 +87,10 @@
     }
     let code = if ok {
         share.state = ShareState::Ready;
-        NoteCode::Loaded
+        LogCode::Loaded
     } else {
         share.state = ShareState::Failed(retry_at);
-        NoteCode::LoadFailed
+        LogCode::LoadFailed
     };
-    out.push(Effect::Note(Note::new(code).with("epoch", epoch)));
+    out.push(Effect::Log(LogEvent::new(code).with("epoch", epoch)));
 }
--- a/src/logic/agent/step.rs
+++ b/src/logic/agent/step.rs
@@ -1,5 +1,5 @@
 use super::{admission, claims, grant, lead, leave, load, pump, report, runs, AgentState, Hold};
-use crate::logic::{Effect, EndpointEvent, Event, Note, NoteCode, Peer, PeerRole};
+use crate::logic::{Effect, EndpointEvent, Event, LogCode, LogEvent, Peer, PeerRole};
 use crate::message::Message;
 use crate::types::{Brief, InstanceId, Millis};
 
@@ -152,14 +152,14 @@
     if brief.number <= state.brief.number {
         return;
     }
-    let event = Note::new(NoteCode::BundleInForce).with("bundle", brief.number);
-    out.push(Effect::Note(event));
+    let event = LogEvent::new(LogCode::BundleInForce).with("bundle", brief.number);
+    out.push(Effect::Log(event));
     state.brief = brief;
 }
 
 fn log_unexpected(from: &InstanceId, out: &mut Vec<Effect>) {
-    out.push(Effect::Note(
-        Note::new(NoteCode::UnexpectedMessage).with("from", from),
+    out.push(Effect::Log(
+        LogEvent::new(LogCode::UnexpectedMessage).with("from", from),
     ));
 }
 
--- a/src/logic/direct/crashes/keep.rs
+++ b/src/logic/direct/crashes/keep.rs
@@ -9,7 +9,7 @@
 use super::{share, CrashReport, Keep};
 use crate::logic::direct::{DirectState, Fingerprint};
 use crate::logic::router::{Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Prefix of the keys, which end in the fingerprint of the request.
@@ -149,10 +149,10 @@
 }
 
 fn invalid_record(key: &str, why: &str) -> Effect {
-    let event = Note::new(NoteCode::CrashesUnread)
+    let event = LogEvent::new(LogCode::CrashesUnread)
         .with("key", key)
         .with("why", why);
-    Effect::Note(event)
+    Effect::Log(event)
 }
 
 /// Schedules all records of blocked requests to be written again, as the key-value service was
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -2,7 +2,7 @@
 
 use super::{share, Crash, CrashRecord, Doubt};
 use crate::logic::direct::{end, DirectEffect, DirectState, Fingerprint, LookResult, Problem};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
 /// Number of crashes from which on a request is risky: only one of its kind is in flight at a
@@ -98,12 +98,12 @@
     };
     for request in requests {
         count_crash(state, now, request, &CrashRecord::of(crash.clone()), out);
-        let event = Note::new(NoteCode::CrashCounted)
+        let event = LogEvent::new(LogCode::CrashCounted)
             .with("fingerprint", request)
             .with("endpoint", id)
             .with("born", crash.born.unwrap_or(0))
             .with("crashes", state.crashes.table.suspected(&request));
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
     share::send_due(state, now, out);
 }
@@ -146,10 +146,10 @@
     let record = state.crashes.table.get(&request);
     let ids = record.into_iter().flat_map(|r| r.crashes.iter());
     let ids: Vec<_> = ids.map(|c| c.endpoint.to_string()).collect();
-    let event = Note::new(NoteCode::RequestBlocked)
+    let event = LogEvent::new(LogCode::RequestBlocked)
         .with("fingerprint", request)
         .with("endpoints", ids.join(","));
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let has_event = |f: &crate::logic::direct::Flight| f.run.as_ref().is_some_and(|r| r.moved);
     let in_flight = state.flights.iter();
     let ended = in_flight.filter(|(_, f)| f.fingerprint == request && !has_event(f));
@@ -168,8 +168,8 @@
 ) {
     state.crashes.served.record(now, request);
     if state.crashes.table.clear(&request) {
-        let event = Note::new(NoteCode::CrashesCleared).with("fingerprint", request);
-        out.push(Effect::Note(event));
+        let event = LogEvent::new(LogCode::CrashesCleared).with("fingerprint", request);
+        out.push(Effect::Log(event));
         share::schedule_broadcast(state, now, request);
         share::send_due(state, now, out);
     }
--- a/src/logic/direct/end.rs
+++ b/src/logic/direct/end.rs
@@ -2,7 +2,7 @@
 
 use super::{crashes, demand, endpoints, queue, DirectEffect, DirectState, Flight, Problem};
 use crate::logic::router::Metric;
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Ends a request whose endpoint has answered in full; `last` passes the end of the answer
@@ -21,8 +21,8 @@
     };
     crashes::on_answered(state, now, flight.fingerprint, out);
     out.push(Effect::Direct(last));
-    out.push(Effect::Note(
-        Note::new(NoteCode::FlightAnswered)
+    out.push(Effect::Log(
+        LogEvent::new(LogCode::RequestCompleted)
             .with("request", &flight.label)
             .with("took", now.saturating_sub(flight.arrived))
             .with("first", flight.first_ms)
@@ -131,16 +131,16 @@
     };
     record_metric(&flight, metric, 1, out);
     if flight.head_sent {
-        let event = Note::new(NoteCode::FlightCut)
+        let event = LogEvent::new(LogCode::StreamAborted)
             .with("request", &flight.label)
             .with("event", flight.last_event.unwrap_or(0))
             .with("sends", flight.tried.len())
             .with("why", why);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
         out.push(Effect::Direct(DirectEffect::Cut(id)));
         return;
     }
-    let event = Note::new(NoteCode::FlightRefused)
+    let event = LogEvent::new(LogCode::RequestRefused)
         .with("request", &flight.label)
         .with("problem", problem.name())
         .with("why", why)
@@ -149,7 +149,7 @@
         .with("runs", flight.runs)
         .with("fingerprint", flight.fingerprint)
         .with("turn", format!("{:?}", flight.turn));
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     out.push(Effect::Direct(DirectEffect::Refuse {
         request: id,
         problem,
@@ -164,11 +164,11 @@
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
-    let event = Note::new(NoteCode::FlightRefused)
+    let event = LogEvent::new(LogCode::RequestRefused)
         .with("request", label)
         .with("problem", problem.name())
         .with("why", why);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     out.push(Effect::Direct(DirectEffect::Refuse { request, problem }));
 }
 
@@ -178,8 +178,8 @@
     queue::remove(state, id);
     state.early.retain(|(_, request)| request.id != id);
     if let Some(flight) = state.flights.remove(&id) {
-        let event = Note::new(NoteCode::FlightLeft).with("request", &flight.label);
-        out.push(Effect::Note(event));
+        let event = LogEvent::new(LogCode::CallerLeft).with("request", &flight.label);
+        out.push(Effect::Log(event));
     }
 }
 
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -1,7 +1,7 @@
 //! What this router knows about endpoints, from the endpoint list and from its own runs.
 
 use super::{digests, limit, plan, DirectState, EndpointView, EntryNews, LookResult, Sight};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis};
 
 /// Time for which an endpoint that has left the list is kept.
@@ -36,12 +36,12 @@
     }
     state.listed_once = true;
     let heads = state.endpoints.values().filter(|v| v.listed && v.heads());
-    let event = Note::new(NoteCode::ListRead)
+    let event = LogEvent::new(LogCode::ListRead)
         .with("revision", state.listed_at.revision)
         .with("era", state.listed_at.era)
         .with("endpoints", listed_ids.len())
         .with("heads", heads.count());
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
 }
 
 /// Applies a change of one entry of the list; `None` means that the entry was removed.
@@ -56,8 +56,8 @@
         if let Some(view) = state.endpoints.get_mut(&id).filter(|v| v.listed) {
             view.listed = false;
             view.beat_at = now;
-            out.push(Effect::Note(
-                Note::new(NoteCode::EndpointUnlisted).with("endpoint", &id),
+            out.push(Effect::Log(
+                LogEvent::new(LogCode::EndpointUnlisted).with("endpoint", &id),
             ));
             digests::add_update(state, EntryNews::Gone(id));
         }
@@ -75,11 +75,11 @@
     let Some(view) = state.endpoints.get_mut(&id) else {
         // The first reading is logged as a whole, not endpoint by endpoint.
         if state.listed_once {
-            let event = Note::new(NoteCode::EndpointListed)
+            let event = LogEvent::new(LogCode::EndpointListed)
                 .with("endpoint", &id)
                 .with("domain", &entry.domain)
                 .with("service", &entry.service);
-            out.push(Effect::Note(event));
+            out.push(Effect::Log(event));
         }
         digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
         let view = EndpointView {
@@ -95,8 +95,8 @@
         Some(EntryNews::Listed(id.clone(), entry.clone()))
     };
     if entry.leaving && !view.entry.leaving {
-        out.push(Effect::Note(
-            Note::new(NoteCode::EndpointLeaving).with("endpoint", &id),
+        out.push(Effect::Log(
+            LogEvent::new(LogCode::EndpointLeaving).with("endpoint", &id),
         ));
     }
     if entry.beats != view.entry.beats {
@@ -143,11 +143,11 @@
     let Some(view) = state.endpoints.get_mut(id) else {
         return;
     };
-    let event = Note::new(NoteCode::EndpointRestarted)
+    let event = LogEvent::new(LogCode::EndpointRestarted)
         .with("endpoint", id)
         .with("born", entry.born.unwrap_or(0))
         .with("running", view.running);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let before = std::mem::replace(
         view,
         EndpointView {
@@ -392,11 +392,11 @@
     let failures = view.failures;
     let at = state.flights.get(&request).and_then(|f| f.run.as_ref());
     if let Some(run) = at {
-        let event = Note::new(NoteCode::EndpointFailed)
+        let event = LogEvent::new(LogCode::EndpointFailed)
             .with("endpoint", &run.at)
             .with("refused", refused)
             .with("failures", failures)
             .with("left_alone", backoff_ms);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
 }
--- a/src/logic/direct/pause.rs
+++ b/src/logic/direct/pause.rs
@@ -4,7 +4,7 @@
 //! before them. So the routing is read again before further requests are admitted.
 
 use super::{DirectEffect, DirectState};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Time without a tick that counts as a pause: less than the shortest time within which a
@@ -31,7 +31,9 @@
     }
     state.pause.asked += 1;
     state.pause.waiting_since = Some(now);
-    out.push(Effect::Note(Note::new(NoteCode::Paused).with("ms", paused)));
+    out.push(Effect::Log(
+        LogEvent::new(LogCode::Paused).with("ms", paused),
+    ));
     let asked = state.pause.asked;
     out.push(Effect::Direct(DirectEffect::ReadRouting { asked }));
 }
@@ -50,7 +52,7 @@
     if state.pause.waiting_since.is_some_and(over) {
         state.pause.waiting_since = None;
         let version = state.routing.as_ref().map_or(0, |r| r.version);
-        let event = Note::new(NoteCode::RoutingUnchecked).with("version", version);
-        out.push(Effect::Note(event));
+        let event = LogEvent::new(LogCode::RoutingUnchecked).with("version", version);
+        out.push(Effect::Log(event));
     }
 }
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -2,7 +2,7 @@
 
 use crate::logic::direct::{crashes, peers, DirectState};
 use crate::logic::router::{CallId, Check, Put, StoreCall, StoreChange, StoreReply, StoreResult};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Millis, StorePosition};
 
 /// Key that the planner holds under its lease.
@@ -152,9 +152,9 @@
     out: &mut Vec<Effect>,
 ) {
     if state.plan.duty.fence > 0 {
-        let event =
-            Note::new(NoteCode::DutyLost).with("why", "the store was restored from a backup");
-        out.push(Effect::Note(event));
+        let event = LogEvent::new(LogCode::PlannerLeaseLost)
+            .with("why", "the store was restored from a backup");
+        out.push(Effect::Log(event));
     }
     state.plan.duty = Duty {
         free_from: now + settling_ms(state),
@@ -236,16 +236,17 @@
             duty.fence = duty.taken.fence();
             duty.until = duty.granted + duty.length;
             duty.holder = Some(state.me.to_string());
-            let event = Note::new(NoteCode::DutyTaken).with("fence", duty.fence);
-            out.push(Effect::Note(event));
+            let event = LogEvent::new(LogCode::PlannerLeaseTaken).with("fence", duty.fence);
+            out.push(Effect::Log(event));
         }
         (DutyCall::Renew(at), Ok(StoreReply::Lease { ttl_s, .. })) if ttl_s > 0 => {
             duty.until = at + duty.length;
         }
         (DutyCall::Renew(_), Ok(_)) | (DutyCall::Revoke, _) => {
             duty.reset();
-            out.push(Effect::Note(
-                Note::new(NoteCode::DutyLost).with("why", "the lease expired or was revoked"),
+            out.push(Effect::Log(
+                LogEvent::new(LogCode::PlannerLeaseLost)
+                    .with("why", "the lease expired or was revoked"),
             ));
         }
         // The lease may have expired, or another router has written the key first.
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -6,7 +6,7 @@
 
 use super::{look, order, retire, Ending, EndingStep, Forming, OrderUse};
 use crate::logic::direct::{digests, DirectState, GroupStep};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis, SeatState};
 
 /// Epochs that belong to one fence.
@@ -36,13 +36,13 @@
 ) {
     let epoch = next_epoch(state);
     let group: Arc<str> = format!("g{epoch}").into();
-    let event = Note::new(NoteCode::GroupForming)
+    let event = LogEvent::new(LogCode::GroupForming)
         .with("group", &group)
         .with("model", &model)
         .with("domain", &place.1)
         .with("members", joined_ids(&members))
         .with("expected_ms", takes);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let forming = Forming {
         epoch,
         service: place.0.clone(),
@@ -117,10 +117,10 @@
         .map(|id| latest_state(seat_state(state, id, group), forming.seen.get(id).copied()))
         .collect();
     if seats.first() == Some(&Some(SeatState::Open)) {
-        let event = Note::new(NoteCode::GroupOpened)
+        let event = LogEvent::new(LogCode::GroupOpened)
             .with("group", group)
             .with("took", now.saturating_sub(forming.since));
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
         record_seats(state, now, group, forming);
         return false;
     }
@@ -230,10 +230,10 @@
     why: &str,
     out: &mut Vec<Effect>,
 ) {
-    let event = Note::new(NoteCode::GroupGivenUp)
+    let event = LogEvent::new(LogCode::GroupGivenUp)
         .with("group", group)
         .with("why", why);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     if forming.opened.is_some() || forming.adopted {
         let ending = Ending {
             epoch: forming.epoch,
--- a/src/logic/direct/plan/idle.rs
+++ b/src/logic/direct/plan/idle.rs
@@ -6,7 +6,7 @@
 
 use super::{order, survey, IdleReason, OrderUse};
 use crate::logic::direct::{DirectState, GroupStep, Mechanism};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
 /// Time for which an endpoint must be free before it is reported: a move from one group to
@@ -36,7 +36,7 @@
         let told = known.as_ref().is_some_and(|i| i.told && i.reason == reason);
         let due = !told && now >= since + MIN_IDLE_MS;
         if due {
-            out.push(Effect::Note(idle_event(state, now, &id, since, reason)));
+            out.push(Effect::Log(idle_event(state, now, &id, since, reason)));
         }
         let told = told || due;
         let mut left = known.and_then(|i| i.left.clone());
@@ -94,14 +94,14 @@
     id: &InstanceId,
     since: Millis,
     reason: IdleReason,
-) -> Note {
+) -> LogEvent {
     let view = state.endpoints.get(id);
     let held = view.and_then(|v| v.last.as_deref()).unwrap_or("-");
     let staged: Vec<&str> = view.map_or(Vec::new(), |v| {
         v.entry.staged.iter().map(|m| &**m).collect()
     });
     let loads = state.plan.staging.get(id).map_or("-", |s| &*s.model);
-    Note::new(NoteCode::EndpointIdle)
+    LogEvent::new(LogCode::EndpointIdle)
         .with("endpoint", id)
         .with("domain", view.map_or("", |v| &*v.entry.domain))
         .with("reason", reason.name())
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -4,7 +4,7 @@
 
 use super::{cover, form, survey};
 use crate::logic::direct::{endpoints, peers, DirectEffect, DirectState, LookResult, Sight};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
 /// Consecutive probes without an answer after which an endpoint counts as lost.
@@ -153,8 +153,8 @@
                 ..Look::default()
             };
             if state.plan.lost.remove(id).is_some() {
-                out.push(Effect::Note(
-                    Note::new(NoteCode::EndpointFound).with("endpoint", id),
+                out.push(Effect::Log(
+                    LogEvent::new(LogCode::EndpointFound).with("endpoint", id),
                 ));
             }
             // Seats are taken from the list, as the report may be older than it; but a
@@ -241,11 +241,11 @@
     let beat_age = now.saturating_sub(view.beat_at);
     if state.plan.lost.insert(id.clone(), now).is_none() {
         cover::on_endpoint_lost(state, now);
-        let event = Note::new(NoteCode::EndpointLost)
+        let event = LogEvent::new(LogCode::EndpointLost)
             .with("endpoint", id)
             .with("why", why)
             .with("beat_age", beat_age);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
         state.plan.look_at = now;
     }
 }
--- a/src/logic/direct/plan/order.rs
+++ b/src/logic/direct/plan/order.rs
@@ -4,7 +4,7 @@
 
 use super::{form, retire};
 use crate::logic::direct::{DirectEffect, DirectState, GroupOrder, GroupStep, OrderResult};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
 /// The purpose of an order.
@@ -84,10 +84,10 @@
     *state.plan.counts.entry(labels).or_default() += 1;
     let is_accepted = matches!(result, OrderResult::Begun | OrderResult::Done);
     if !is_accepted {
-        let event = Note::new(NoteCode::OrderFailed)
+        let event = LogEvent::new(LogCode::OrderFailed)
             .with("order", format!("{purpose:?}"))
             .with("result", format!("{result:?}"));
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
     match purpose {
         OrderUse::Join(group) if result == OrderResult::Outdated || result == OrderResult::Gone => {
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -4,7 +4,7 @@
 
 use super::{cover, form, look, order, Ending, EndingStep, Forming, GroupView, OrderUse};
 use crate::logic::direct::{DirectState, EndpointView, GroupStep};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{GroupSeat, InstanceId, Millis, SeatState};
 
 /// Longest time that a closing group gets to finish its requests.
@@ -78,14 +78,14 @@
     if is_lost {
         ending.step = EndingStep::Confirming;
     }
-    let event = Note::new(NoteCode::GroupEnding)
+    let event = LogEvent::new(LogCode::GroupEnding)
         .with("group", group)
         .with("step", format!("{:?}", ending.step))
         .with(
             "head",
             ending.head.as_ref().map_or("unknown", |id| id.as_str()),
         );
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     send_orders(state, group, &ending, out);
     if advance(state, now, group, &mut ending, out) {
         state.plan.ending.insert(group.clone(), ending);
--- a/src/logic/direct/plan/stage.rs
+++ b/src/logic/direct/plan/stage.rs
@@ -11,7 +11,7 @@
 use super::survey::{self, Place};
 use super::{fill, form, order, value, OrderUse, Staging};
 use crate::logic::direct::{DirectState, EndpointView, GroupStep, Mechanism};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
 /// Time beyond twice the load time after which an order to load that shows no effect may
@@ -243,10 +243,10 @@
     step: GroupStep,
     out: &mut Vec<Effect>,
 ) {
-    let event = Note::new(NoteCode::StageOrdered)
+    let event = LogEvent::new(LogCode::StageOrdered)
         .with("endpoint", id)
         .with("model", model);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let hold = matches!(step, GroupStep::Join { .. });
     let staging = Staging {
         model: model.clone(),
--- a/src/logic/direct/plan/tend.rs
+++ b/src/logic/direct/plan/tend.rs
@@ -4,7 +4,7 @@
     duty, fill, fleet_view, form, idle, inspect, look, retire, stage, survey, value, LoadBudget,
 };
 use crate::logic::direct::{DirectEffect, DirectState};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Endpoints per millisecond between two planning passes.
@@ -30,8 +30,8 @@
             look::send_to_seated(state, now, out);
         }
         if !holds {
-            let event = Note::new(NoteCode::DutyLost).with("why", "not renewed in time");
-            out.push(Effect::Note(event));
+            let event = LogEvent::new(LogCode::PlannerLeaseLost).with("why", "not renewed in time");
+            out.push(Effect::Log(event));
         }
     }
     if holds {
@@ -106,12 +106,12 @@
         let needs = value::needs(state, now, engine);
         let counts = fleet_view::counts(state, service, engine);
         for ((model, need), count) in engine.models.iter().zip(needs).zip(counts) {
-            let event = Note::new(NoteCode::NeedsReckoned)
+            let event = LogEvent::new(LogCode::NeedsEstimated)
                 .with("model", &model.name)
                 .with("stand", count)
                 .with("needed", format!("{:.2}", need.groups))
                 .with("weight", format!("{:.2}", need.weight));
-            out.push(Effect::Note(event));
+            out.push(Effect::Log(event));
         }
     }
 }
--- a/src/logic/direct/plan/trade.rs
+++ b/src/logic/direct/plan/trade.rs
@@ -10,7 +10,7 @@
 use super::value::{readiness_by_model, worth, ModelNeed};
 use super::{retire, GroupView};
 use crate::logic::direct::{demand, DirectState, Mechanism};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EngineSpec, InstanceId, Millis, SeatState};
 
 /// Least gain of a trade, as a part of the service's worth: the endpoints of the group that
@@ -136,10 +136,10 @@
     };
     state.plan.traded = now;
     state.plan.trades.insert(place.clone(), name.clone());
-    let event = Note::new(NoteCode::GroupTraded)
+    let event = LogEvent::new(LogCode::GroupTraded)
         .with("group", name)
         .with("gain", format!("{gain:.3}"));
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     retire::begin(state, now, name, group, true, out);
     true
 }
--- a/src/logic/direct/rates.rs
+++ b/src/logic/direct/rates.rs
@@ -10,7 +10,7 @@
 use sha2::{Digest as _, Sha256};
 
 use super::{DirectEffect, DirectState, EndpointView, PeerMessage, RateShare};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis, RequestRate};
 
 /// Holders for each request a second of a limit, in addition to the first. With more, the one
@@ -104,21 +104,21 @@
         gap,
         next_at,
     });
-    let event = Note::new(NoteCode::EndpointLimited)
+    let event = LogEvent::new(LogCode::EndpointLimited)
         .with("endpoint", id)
         .with("rate", rate)
         .with("gap", gap.map_or("-".to_string(), |gap| gap.to_string()));
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
 }
 
 /// Forgets the limit of an endpoint.
 fn clear_limit(state: &mut DirectState, id: &InstanceId, out: &mut Vec<Effect>) {
     let view = state.endpoints.get_mut(id);
     if let Some(share) = view.and_then(|v| v.rate.take()) {
-        let event = Note::new(NoteCode::EndpointUnlimited)
+        let event = LogEvent::new(LogCode::EndpointUnlimited)
             .with("endpoint", id)
             .with("rate", share.rate);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
 }
 
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -5,7 +5,7 @@
     RetryTerms, RetryWindow, Run, RunRequest, Turn,
 };
 use crate::logic::router::Metric;
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Millis, RouteKind};
 
 /// Highest priority value that an endpoint accepts; 0 is served first.
@@ -59,7 +59,7 @@
     view.running += 1;
     view.unread += u64::from(flight.prompt);
     let (addr, epoch) = (view.entry.addr, view.epoch());
-    let event = Note::new(NoteCode::FlightSent)
+    let event = LogEvent::new(LogCode::RequestSent)
         .with("request", &flight.label)
         .with("fingerprint", flight.fingerprint)
         .with("endpoint", &to)
@@ -69,7 +69,7 @@
         .with("limit", view.limit)
         .with("beat_age", now.saturating_sub(view.beat_at))
         .with("version", version);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     out.push(Effect::Direct(DirectEffect::Run(Box::new(RunRequest {
         run,
         request: id,
@@ -137,7 +137,7 @@
         if flight.head_sent && waits {
             flight.wait_until = flight.wait_until.max(now + RESUME_WAIT_MS);
         }
-        let event = Note::new(NoteCode::FlightMoved)
+        let event = LogEvent::new(LogCode::RequestResent)
             .with("request", &flight.label)
             .with("why", why)
             .with("runs", flight.runs)
@@ -145,7 +145,7 @@
             .with("retries", retries)
             .with("requests", requests)
             .with("age", age);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
         end::record_metric(flight, Metric::Retry, 1, out);
     }
     send_or_wait(state, now, id, out);
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -1,7 +1,7 @@
 //! Finds endpoints that send nothing although they have runs, and moves their streams.
 
 use super::{choose, end, peers, plan, send, DirectState, Mechanism};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis, RouteKind};
 
 /// How many times its usual longest pause a head may be silent.
@@ -54,12 +54,12 @@
         }
         if view.silent.is_none() {
             view.silent = Some(now);
-            let event = Note::new(NoteCode::EndpointSilent)
+            let event = LogEvent::new(LogCode::EndpointSilent)
                 .with("endpoint", id)
                 .with("still", silence)
                 .with("limit", limit)
                 .with("running", view.running);
-            out.push(Effect::Note(event));
+            out.push(Effect::Log(event));
         }
         silent.push((id.clone(), silence >= limit * MOVE_FACTOR || !view.heads()));
     }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -2,7 +2,7 @@
     accept, answer, crashes, demand, digests, end, endpoints, pause, peers, plan, queue, rates,
     silence, store, DirectEffect, DirectEvent, DirectState, EndStage,
 };
-use crate::logic::{Effect, Event, Note, NoteCode};
+use crate::logic::{Effect, Event, LogCode, LogEvent};
 use crate::types::{Millis, Routing};
 use std::sync::Arc;
 
@@ -97,18 +97,18 @@
 fn on_routing(state: &mut DirectState, routing: Arc<Routing>, out: &mut Vec<Effect>) {
     let known = state.routing.as_ref().map_or(0, |r| r.version);
     if state.routing.is_some() && routing.version < known {
-        let event = Note::new(NoteCode::RoutingOlder)
+        let event = LogEvent::new(LogCode::RoutingOlder)
             .with("version", routing.version)
             .with("in_force", known);
-        return out.push(Effect::Note(event));
+        return out.push(Effect::Log(event));
     }
     if state.routing.is_some() && routing.version == known {
         return;
     }
-    let event = Note::new(NoteCode::RoutingInForce)
+    let event = LogEvent::new(LogCode::RoutingInForce)
         .with("version", routing.version)
         .with("before", known);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let before = state.routing.take();
     let logged = before.as_ref().map_or(&[][..], |r| &r.gaps);
     for missing in routing
@@ -116,11 +116,11 @@
         .iter()
         .filter(|missing| !logged.contains(missing))
     {
-        let event = Note::new(NoteCode::FigureMissing)
+        let event = LogEvent::new(LogCode::ValueMissing)
             .with("place", &missing.place)
             .with("found", &missing.found)
             .with("used", &missing.used);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
     }
     state.routing = Some(routing);
 }
--- a/src/logic/direct/store.rs
+++ b/src/logic/direct/store.rs
@@ -5,7 +5,7 @@
 //! routing in force stays: operators write theirs again.
 
 use super::{crashes, plan, DirectState, Presence};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
 /// Handles the store's era; if the store was restored, forgets what no longer holds.
@@ -13,11 +13,11 @@
     let Some(before) = state.store_era.replace(era) else {
         return;
     };
-    let event = Note::new(NoteCode::StoreRestored)
+    let event = LogEvent::new(LogCode::StoreRestored)
         .with("era", era)
         .with("before", before)
         .with("listed_upto", state.listed_at.revision);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     state.presence = Presence::default();
     let digests = &mut state.digests;
     digests.pending.clear();
--- a/src/logic/effect.rs
+++ b/src/logic/effect.rs
@@ -2,7 +2,7 @@
 
 use super::direct::DirectEffect;
 use super::router::{AnswerPart, CallId, OperatorReply, StoreCall};
-use super::{EndpointCall, Note};
+use super::{EndpointCall, LogEvent};
 use crate::message::Message;
 use crate::types::{InstanceId, RequestId};
 
@@ -56,7 +56,7 @@
         reply: OperatorReply,
     },
     /// Write an event to the log.
-    Note(Note),
+    Log(LogEvent),
     /// Record a duration or count in the metrics.
     Measure {
         /// Which metric.
--- a/src/logic/note.rs
+++ b/src/logic/log_event.rs
@@ -2,16 +2,16 @@
 
 /// An event for the process log and for the event log that `explain` reads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Note {
+pub struct LogEvent {
     /// Kind of the event.
-    pub code: NoteCode,
+    pub code: LogCode,
     /// Named values; they never hold prompt text or API keys.
     pub fields: Vec<(&'static str, String)>,
 }
 
-impl Note {
+impl LogEvent {
     /// Creates an event without fields.
-    pub fn new(code: NoteCode) -> Self {
+    pub fn new(code: LogCode) -> Self {
         Self {
             code,
             fields: Vec::new(),
@@ -31,7 +31,7 @@
     }
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "E{} {}", self.code.number(), self.code.title())?;
         for (name, value) in &self.fields {
@@ -45,27 +45,27 @@
     ($($name:ident = $number:literal $level:ident $title:literal;)*) => {
         /// Kinds of log events, with numbers; `docs/EVENTS.md` lists them all.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-        pub enum NoteCode {
+        pub enum LogCode {
             $(#[doc = $title] $name,)*
         }
 
-        impl NoteCode {
+        impl LogCode {
             /// All codes, in ascending order of their numbers.
-            pub const ALL: &'static [NoteCode] = &[$(NoteCode::$name,)*];
+            pub const ALL: &'static [LogCode] = &[$(LogCode::$name,)*];
 
             /// Number of the code, which is never reused for another one.
             pub fn number(self) -> u16 {
-                match self { $(NoteCode::$name => $number,)* }
+                match self { $(LogCode::$name => $number,)* }
             }
 
             /// Message text in the log.
             pub fn title(self) -> &'static str {
-                match self { $(NoteCode::$name => $title,)* }
+                match self { $(LogCode::$name => $title,)* }
             }
 
             /// Log level.
             pub fn level(self) -> log::Level {
-                match self { $(NoteCode::$name => log::Level::$level,)* }
+                match self { $(LogCode::$name => log::Level::$level,)* }
             }
         }
     };
@@ -74,23 +74,23 @@
 log_codes! {
     Started = 100 Info "process started";
     Stopping = 101 Info "process asked to stop";
-    Stopped = 102 Info "process ends with nothing left to do";
-    SettingsChanged = 103 Info "settings changed; they count from the next start";
-    LinesLeftOut = 105 Warn "log lines left out";
+    Stopped = 102 Info "process stopped";
+    SettingsChanged = 103 Info "settings changed; they take effect at the next start";
+    LogLinesDropped = 105 Warn "log lines dropped";
     Suspended = 106 Warn "machine was suspended";
-    Paused = 107 Warn "process was held up";
+    Paused = 107 Warn "process was stalled";
     SessionUp = 110 Debug "session opened";
     SessionDown = 111 Info "session closed";
     SessionRefused = 112 Warn "session refused";
-    UnexpectedMessage = 113 Warn "message that this sender may not send";
+    UnexpectedMessage = 113 Warn "message not allowed from this sender";
     PresenceGranted = 200 Info "presence granted to a group";
     PresenceReturned = 201 Info "presence given back by the leader";
-    PresenceLapsed = 202 Warn "presence grant ran out";
-    PresenceDenied = 203 Warn "member has seen a higher epoch";
+    PresenceLapsed = 202 Warn "presence grant expired";
+    PresenceDenied = 203 Warn "presence denied: member has seen a higher epoch";
     LeadTaken = 210 Info "lead of a group taken";
     LeadEnded = 211 Info "lead of a group ended";
-    GroupOpen = 212 Info "group takes work";
-    GroupClosed = 213 Warn "group takes no work";
+    GroupOpen = 212 Info "group accepts work";
+    GroupClosed = 213 Warn "group accepts no work";
     Draining = 214 Info "group drains";
     Leaving = 215 Info "instance is leaving";
     Loaded = 220 Info "endpoint has loaded";
@@ -104,18 +104,18 @@
     HeadProven = 306 Info "the bundle is proved to be the newest again";
     StoreDown = 310 Warn "key-value service doesn't answer";
     StoreUp = 311 Info "key-value service answers again";
-    StoreRestored = 312 Error "key-value service has come back from an older copy";
+    StoreRestored = 312 Error "key-value service was restored from a backup";
     PlannerHeld = 400 Info "planner lease held";
     PlannerLost = 401 Warn "planner lease lost";
     GroupPlanned = 410 Info "group planned";
     GroupRepaired = 411 Info "member replaced in the record";
-    GroupRetired = 412 Info "group taken out of the record";
-    GroupDrainPlanned = 413 Info "group told to drain";
+    GroupRetired = 412 Info "group removed from the record";
+    GroupDrainPlanned = 413 Info "group ordered to drain";
     GroupWaits = 414 Warn "group is down and waits";
     RollHalted = 415 Error "roll of a version halted";
     RecordInvalid = 416 Error "a record names an instance twice and is not used";
     RequestRouted = 500 Debug "request sent to a group";
-    RequestRetried = 501 Info "request tried again";
+    RequestRetried = 501 Info "request retried";
     RequestAnswered = 502 Debug "request answered";
     RequestNotRun = 503 Info "request given up: not run";
     RequestUnknown = 504 Warn "request given up: outcome unknown";
@@ -124,7 +124,7 @@
     ClaimRebound = 512 Info "claim bound to another attempt";
     RoutingInForce = 600 Info "routing in force";
     RoutingUnread = 601 Error "routing can't be read";
-    FigureMissing = 602 Warn "published figure is missing";
+    ValueMissing = 602 Warn "published value is missing";
     AnswerUnread = 603 Error "answer of the platform can't be read";
     RoutingOlder = 604 Warn "older routing than the one in force was read";
     RoutingUnchecked = 605 Warn "routing could not be read after a pause";
@@ -135,30 +135,30 @@
     EndpointSilent = 614 Warn "endpoint silent while it has work";
     EndpointLost = 615 Warn "endpoint lost";
     EndpointFound = 616 Info "lost endpoint answers again";
-    EntryUnread = 617 Warn "entry of the list can't be read";
-    ListRead = 618 Info "list read whole";
-    EndpointRestarted = 619 Info "endpoint has started again under its id";
-    DutyTaken = 620 Info "planner's duty taken";
-    DutyLost = 621 Warn "planner's duty lost";
+    EntryUnread = 617 Warn "entry of the endpoint list can't be read";
+    ListRead = 618 Info "endpoint list read in full";
+    EndpointRestarted = 619 Info "endpoint restarted under its id";
+    PlannerLeaseTaken = 620 Info "fleet planner lease taken";
+    PlannerLeaseLost = 621 Warn "fleet planner lease lost";
     GroupForming = 630 Info "group is being formed";
     GroupOpened = 631 Info "group opened";
     GroupGivenUp = 632 Warn "group given up before it opened";
     GroupEnding = 633 Info "group given up";
-    OrderFailed = 634 Warn "order not taken";
-    StageOrdered = 635 Info "endpoint told to load a model to its host";
-    GroupTraded = 636 Info "group given up for others that add more";
+    OrderFailed = 634 Warn "order failed";
+    StageOrdered = 635 Info "endpoint ordered to load a model to its host";
+    GroupTraded = 636 Info "group ended in favour of others that add more";
     EndpointIdle = 637 Info "endpoint serves in no group";
-    NeedsReckoned = 638 Info "groups that models need";
-    FlightSent = 640 Info "request sent to an endpoint";
-    FlightMoved = 641 Info "request sent again";
-    FlightAnswered = 642 Info "request answered whole";
-    FlightRefused = 643 Info "request refused";
-    FlightCut = 644 Warn "stream broken off";
-    FlightLeft = 645 Info "caller left";
+    NeedsEstimated = 638 Info "groups that models need by estimate";
+    RequestSent = 640 Info "request sent to an endpoint";
+    RequestResent = 641 Info "request sent again";
+    RequestCompleted = 642 Info "request answered in full";
+    RequestRefused = 643 Info "request refused";
+    StreamAborted = 644 Warn "stream aborted";
+    CallerLeft = 645 Info "caller left";
     CrashCounted = 646 Warn "endpoint crashed while a request had just begun there";
     RequestBlocked = 647 Error "request refused from now on: endpoints crash under it";
-    CrashesCleared = 648 Info "request cleared of crashes: it was answered whole";
+    CrashesCleared = 648 Info "request cleared of crashes: it was answered in full";
     CrashesUnread = 649 Error "record of a request that crashes endpoints can't be read or written";
-    EndpointLimited = 650 Warn "endpoint names a limit of requests a second";
-    EndpointUnlimited = 651 Info "endpoint names no limit any more";
+    EndpointLimited = 650 Warn "endpoint reports a request rate limit";
+    EndpointUnlimited = 651 Info "endpoint reports no request rate limit any more";
 }
--- a/src/logic/router/claiming.rs
+++ b/src/logic/router/claiming.rs
@@ -4,7 +4,7 @@
 
 use super::{claim_batch, finish, recalling, sending, Keys, Problem, RouterState, Stage};
 use super::{StoreReply, StoreResult, WaitingClaim};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::message::{ClaimRecord, ClaimVerdict, ClaimWrite, Message};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
 
@@ -219,12 +219,12 @@
     once.attempt = write.record.attempt;
     once.incarnation = write.record.incarnation;
     once.revision = revision;
-    let event = Note::new(NoteCode::ClaimTaken)
+    let event = LogEvent::new(LogCode::ClaimTaken)
         .with("request", write.request)
         .with("claim", write.key)
         .with("attempt", write.record.attempt)
         .with("agent", &write.record.agent);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     match request.stage.clone() {
         Stage::Releasing(problem) => {
             finish::end_with_problem(state, now, write.request, *problem, out)
@@ -263,12 +263,12 @@
     revision: i64,
     out: &mut Vec<Effect>,
 ) {
-    let event = Note::new(NoteCode::ClaimFound)
+    let event = LogEvent::new(LogCode::ClaimFound)
         .with("request", write.request)
         .with("claim", write.key)
         .with("attempt", record.attempt)
         .with("agent", &record.agent);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let Some(request) = state.requests.get_mut(&write.request) else {
         return;
     };
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -1,7 +1,7 @@
 //! Ending a request: the caller gets exactly one final part.
 
 use super::{claiming, AnswerPart, Metric, Outcome, Problem, RouterState, Stage};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Millis, RequestId};
 
 /// Ends a request that the endpoint has answered.
@@ -21,11 +21,11 @@
     } else {
         AnswerPart::End { status }
     };
-    let event = Note::new(NoteCode::RequestAnswered)
+    let event = LogEvent::new(LogCode::RequestAnswered)
         .with("request", id)
         .with("status", status)
         .with("pieces", pieces);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     close(state, now, id, part, out);
 }
 
@@ -83,15 +83,15 @@
 /// Logs that a request ends with a problem.
 pub(super) fn log_problem(id: RequestId, problem: &Problem, out: &mut Vec<Effect>) {
     let code = match problem.outcome {
-        Outcome::NotRun => NoteCode::RequestNotRun,
-        Outcome::Unknown => NoteCode::RequestUnknown,
-        Outcome::Failed => NoteCode::RequestAnswered,
+        Outcome::NotRun => LogCode::RequestNotRun,
+        Outcome::Unknown => LogCode::RequestUnknown,
+        Outcome::Failed => LogCode::RequestAnswered,
     };
-    let event = Note::new(code)
+    let event = LogEvent::new(code)
         .with("request", id)
         .with("status", problem.status)
         .with("detail", &problem.detail);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
 }
 
 /// Sends the final part to the caller, measures the request and removes it.
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 
 use super::{agents, head, Keys, Purpose, RouterState, StoreCall, StoreChange, StoreEntry};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Approval, Bundle, DomainRecord, GroupId, GroupRecord, Head, Millis};
 
 /// A value of the key-value service with the revision of its last change.
@@ -162,10 +162,10 @@
         return;
     };
     if let Some(instance) = record.shared_instance() {
-        let event = Note::new(NoteCode::RecordInvalid)
+        let event = LogEvent::new(LogCode::RecordInvalid)
             .with("domain", domain)
             .with("instance", instance);
-        out.push(Effect::Note(event));
+        out.push(Effect::Log(event));
         return;
     }
     let name = record.domain.clone();
--- a/src/logic/router/head.rs
+++ b/src/logic/router/head.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use super::{agents, fleet, Keys, Purpose, RouterState, StoreCall, StoreEntry};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Bundle, Head, Millis};
 
 /// Which bundle is in force at a router, and when it was last proved to be the newest.
@@ -64,11 +64,13 @@
     }
     state.head.was_proven = proven;
     let code = if proven {
-        NoteCode::HeadProven
+        LogCode::HeadProven
     } else {
-        NoteCode::HeadUnproven
+        LogCode::HeadUnproven
     };
-    out.push(Effect::Note(Note::new(code).with("bundle", state.number())));
+    out.push(Effect::Log(
+        LogEvent::new(code).with("bundle", state.number()),
+    ));
 }
 
 /// Handles a read of the head. If the bundle in force is the one read, it was the newest at the
@@ -105,10 +107,10 @@
 ) {
     if head.number < state.head.head.number {
         if revision > state.head.revision {
-            let event = Note::new(NoteCode::HeadWentBack)
+            let event = LogEvent::new(LogCode::HeadWentBack)
                 .with("found", head.number)
                 .with("in_force", state.number());
-            out.push(Effect::Note(event));
+            out.push(Effect::Log(event));
         }
         return;
     }
@@ -134,8 +136,8 @@
     if bundle.number <= state.number() {
         return;
     }
-    let event = Note::new(NoteCode::BundleInForce).with("bundle", bundle.number);
-    out.push(Effect::Note(event));
+    let event = LogEvent::new(LogCode::BundleInForce).with("bundle", bundle.number);
+    out.push(Effect::Log(event));
     state.head.bundle = Some(bundle);
     state.head.proven_at = None;
     state.head.prove_at = now;
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -2,7 +2,7 @@
 
 use super::{fleet, roll, status, Check, Keys, OperatorCall, OperatorReply, Problem, Purpose, Put};
 use super::{RouterState, StoreCall, StoreReply, StoreResult};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Approval, Bundle, BundleBody, BundleFault, Millis};
 
 /// Handles an operator's call.
@@ -100,8 +100,8 @@
 ) {
     match result {
         Ok(StoreReply::Swapped { done: true, .. }) => {
-            let event = Note::new(NoteCode::BundleSubmitted).with("bundle", number);
-            out.push(Effect::Note(event));
+            let event = LogEvent::new(LogCode::BundleSubmitted).with("bundle", number);
+            out.push(Effect::Log(event));
             out.push(Effect::Reply {
                 job,
                 reply: OperatorReply::Submitted(number),
@@ -166,8 +166,8 @@
         let detail = "result unknown; approving again is safe";
         return reply_problem(job, Problem::unknown(504, detail), out);
     }
-    let event = Note::new(NoteCode::BundleApproved).with("bundle", number);
-    out.push(Effect::Note(event));
+    let event = LogEvent::new(LogCode::BundleApproved).with("bundle", number);
+    out.push(Effect::Log(event));
     out.push(Effect::Reply {
         job,
         reply: OperatorReply::Approved(number),
--- a/src/logic/router/planner/duty.rs
+++ b/src/logic/router/planner/duty.rs
@@ -11,7 +11,7 @@
 use crate::logic::router::{
     agents, fleet, Check, Keys, Purpose, Put, RouterState, StoreCall, StoreReply, StoreResult,
 };
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{DomainRecord, InstanceId, Millis};
 
 /// Limit of the saved tokens, in thousandths of a write.
@@ -43,11 +43,11 @@
     state.planner.was_held = held;
     agents::schedule_dial(state, now);
     let code = if held {
-        NoteCode::PlannerHeld
+        LogCode::PlannerHeld
     } else {
-        NoteCode::PlannerLost
+        LogCode::PlannerLost
     };
-    out.push(Effect::Note(Note::new(code).with("hall", &state.hall)));
+    out.push(Effect::Log(LogEvent::new(code).with("hall", &state.hall)));
 }
 
 /// Renews the lease while it is held. Otherwise reads the planner key, to acquire the lease when
@@ -260,10 +260,10 @@
         let known = state.planner.halted_rolls.contains_key(&**model);
         if halted && !known {
             let why = format!("{} groups of the new version fail to load", count.failing);
-            let event = Note::new(NoteCode::RollHalted)
+            let event = LogEvent::new(LogCode::RollHalted)
                 .with("model", model)
                 .with("why", &why);
-            out.push(Effect::Note(event));
+            out.push(Effect::Log(event));
             state.planner.halted_rolls.insert(model.to_string(), why);
         } else if !halted {
             state.planner.halted_rolls.remove(&**model);
@@ -273,7 +273,7 @@
 
 fn write_record(state: &mut RouterState, plan: Plan, revision: i64, out: &mut Vec<Effect>) {
     let key = Keys::domain(&plan.record.domain);
-    out.extend(plan.log_events.into_iter().map(Effect::Note));
+    out.extend(plan.log_events.into_iter().map(Effect::Log));
     let op = StoreCall::Swap {
         checks: vec![Check {
             key: key.clone(),
--- a/src/logic/router/planner/form.rs
+++ b/src/logic/router/planner/form.rs
@@ -4,7 +4,7 @@
 
 use super::plan::{is_current, wanted_kind};
 use super::{Plan, PlanInput};
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupId, GroupRecord, Instance, Member, ModelSpec, Phase};
 
 /// Forms missing groups from spares, the most valuable model first.
@@ -47,7 +47,7 @@
     }
     let epoch = plan.record.next_epoch();
     let id = GroupId::new(&input.record.domain, epoch);
-    let event = Note::new(NoteCode::GroupPlanned)
+    let event = LogEvent::new(LogCode::GroupPlanned)
         .with("group", &id)
         .with("epoch", epoch)
         .with("model", &spec.name);
--- a/src/logic/router/planner/plan.rs
+++ b/src/logic/router/planner/plan.rs
@@ -1,5 +1,5 @@
 use super::{form, repair, retire, PlanInput};
-use crate::logic::Note;
+use crate::logic::LogEvent;
 use crate::types::{DomainRecord, GroupId, GroupRecord, InstanceId, Member, ModelKind, ModelSpec};
 
 /// A changed record, with the log events that explain the change.
@@ -8,7 +8,7 @@
     /// The record to write.
     pub record: DomainRecord,
     /// Events that name each change, to be logged when the write is sent.
-    pub log_events: Vec<Note>,
+    pub log_events: Vec<LogEvent>,
 }
 
 /// Plans the changes of one domain.
--- a/src/logic/router/planner/repair.rs
+++ b/src/logic/router/planner/repair.rs
@@ -2,7 +2,7 @@
 
 use super::plan::wanted_kind;
 use super::{Condition, Health, Plan, PlanInput};
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupId, GroupRecord, InstanceId, Member, Phase};
 
 /// Repairs each group in phase `Serving` that doesn't serve, the most valuable first.
@@ -80,7 +80,7 @@
             let mut replacements = spares;
             replacements.extend(live_members(input, &dissolved));
             plan.record.groups.retain(|g| g.id != dissolved.id);
-            let event = Note::new(NoteCode::GroupRetired)
+            let event = LogEvent::new(LogCode::GroupRetired)
                 .with("group", &dissolved.id)
                 .with("given_up_for", id);
             plan.log_events.push(event);
@@ -98,7 +98,7 @@
     from: &str,
 ) {
     for (old, new) in lost.iter().zip(replacements) {
-        let event = Note::new(NoteCode::GroupRepaired)
+        let event = LogEvent::new(LogCode::GroupRepaired)
             .with("group", id)
             .with("missing", old)
             .with("member", &new.instance)
@@ -116,7 +116,7 @@
     let epoch = plan.record.next_epoch();
     if let Some(group) = plan.record.group_mut(&group.id) {
         group.epoch = epoch;
-        let event = Note::new(NoteCode::GroupPlanned)
+        let event = LogEvent::new(LogCode::GroupPlanned)
             .with("group", &group.id)
             .with("epoch", epoch);
         plan.log_events.push(event);
@@ -188,14 +188,14 @@
     lost: &[InstanceId],
 ) {
     let missing: Vec<_> = lost.iter().map(|i| i.to_string()).collect();
-    let event = Note::new(NoteCode::GroupWaits)
+    let event = LogEvent::new(LogCode::GroupWaits)
         .with("group", &group.id)
         .with("missing", missing.join(","));
     if input.condition_of(&group.id) == Condition::Ended {
         plan.record.groups.retain(|g| g.id != group.id);
         plan.record.next_epoch();
         plan.log_events
-            .push(Note::new(NoteCode::GroupRetired).with("group", &group.id));
+            .push(LogEvent::new(LogCode::GroupRetired).with("group", &group.id));
     }
     plan.log_events.push(event);
 }
--- a/src/logic/router/planner/retire.rs
+++ b/src/logic/router/planner/retire.rs
@@ -2,7 +2,7 @@
 
 use super::plan::is_current;
 use super::{Condition, Plan, PlanInput};
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupRecord, Phase};
 
 /// Removes draining groups from the record that have ended or that nobody serves any more.
@@ -26,7 +26,7 @@
         // again is told to release it.
         plan.record.next_epoch();
         plan.log_events
-            .push(Note::new(NoteCode::GroupRetired).with("group", &id));
+            .push(LogEvent::new(LogCode::GroupRetired).with("group", &id));
     }
 }
 
@@ -46,7 +46,7 @@
         group.phase = Phase::Draining;
     }
     plan.log_events
-        .push(Note::new(NoteCode::GroupDrainPlanned).with("group", &id));
+        .push(LogEvent::new(LogCode::GroupDrainPlanned).with("group", &id));
 }
 
 fn is_unwanted(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/recalling.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{agents, claim_batch, finish, sending, Problem, RouterState, Stage};
-use crate::logic::{Effect, Note, NoteCode, Peer};
+use crate::logic::{Effect, LogCode, LogEvent, Peer};
 use crate::message::{Message, Once, Recall, RunId};
 use crate::types::{InstanceId, Millis, RequestId};
 
@@ -156,8 +156,8 @@
             }
         }
         Recall::NotRun => {
-            let event = Note::new(NoteCode::ClaimRebound).with("request", id);
-            out.push(Effect::Note(event));
+            let event = LogEvent::new(LogCode::ClaimRebound).with("request", id);
+            out.push(Effect::Log(event));
             request.stage = Stage::Parked(now);
             sending::dispatch(state, now, id, out);
         }
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -2,7 +2,7 @@
 
 use super::{head, Check, Keys, OperatorReply, Problem, Purpose, Put, RouterState, StoreCall};
 use super::{StoreReply, StoreResult};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Head, Millis};
 
 /// Time before a write whose reply was lost is repeated.
@@ -187,10 +187,10 @@
         return;
     };
     let number = roll.head.number;
-    let event = Note::new(NoteCode::BundleRolled)
+    let event = LogEvent::new(LogCode::BundleRolled)
         .with("bundle", number)
         .with("by", &roll.head.by);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     head::on_head(state, now, roll.head, revision, out);
     if let Some(job) = roll.job {
         out.push(Effect::Reply {
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/sending.rs
@@ -4,7 +4,7 @@
 
 use super::{agents, claim_batch, claiming, finish, recalling, route};
 use super::{AnswerPart, Metric, Problem, Request, RouterState, Stage};
-use crate::logic::{Effect, Note, NoteCode};
+use crate::logic::{Effect, LogCode, LogEvent};
 use crate::message::{AttemptEnd, Message, Once, Refusal, RunId, RunOrder};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
 
@@ -71,12 +71,12 @@
         offset: request.pieces,
         prefix: request.text.clone(),
     };
-    let event = Note::new(NoteCode::RequestRouted)
+    let event = LogEvent::new(LogCode::RequestRouted)
         .with("request", id)
         .with("attempt", request.attempt)
         .with("group", group)
         .with("agent", agent);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     let load = state.loads.entry(group.clone()).or_default();
     load.own += 1;
     load.since_report += 1;
@@ -292,11 +292,11 @@
     let Some(request) = state.requests.get(&id) else {
         return;
     };
-    let event = Note::new(NoteCode::RequestRetried)
+    let event = LogEvent::new(LogCode::RequestRetried)
         .with("request", id)
         .with("attempt", attempt)
         .with("detail", detail);
-    out.push(Effect::Note(event));
+    out.push(Effect::Log(event));
     out.push(retry_metric(request));
     if delayed {
         park(state, now, id, out);
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -2,7 +2,7 @@
     accept, agents, claim_batch, claiming, fleet, head, operator, peers, planner, recalling,
 };
 use super::{roll, sending, CallId, ListReply, Purpose, RouterState, StoreReply, StoreResult};
-use crate::logic::{Effect, Event, Note, NoteCode, Peer, PeerRole};
+use crate::logic::{Effect, Event, LogCode, LogEvent, Peer, PeerRole};
 use crate::message::Message;
 use crate::types::Millis;
 
@@ -96,8 +96,8 @@
             claiming::on_claim_reply(state, now, answers, out);
         }
         _ => {
-            let event = Note::new(NoteCode::UnexpectedMessage).with("from", &from.id);
-            out.push(Effect::Note(event));
+            let event = LogEvent::new(LogCode::UnexpectedMessage).with("from", &from.id);
+            out.push(Effect::Log(event));
         }
     }
 }
@@ -150,11 +150,11 @@
     }
     state.store_up = up;
     let code = if up {
-        NoteCode::StoreUp
+        LogCode::StoreUp
     } else {
-        NoteCode::StoreDown
+        LogCode::StoreDown
     };
-    out.push(Effect::Note(Note::new(code)));
+    out.push(Effect::Log(LogEvent::new(code)));
 }
 
 /// Handles a fetched instance list.
--- a/src/observe/log_writer.rs
+++ b/src/observe/log_writer.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::logic::{Note, NoteCode};
+use crate::logic::{LogCode, LogEvent};
 
 /// Maximum number of lines that wait to be written.
 const MAX_WAITING: u64 = 1_024;
@@ -60,7 +60,7 @@
         let dropped = counts.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             // An error is ignored: the line below can't be written then either.
-            let event = Note::new(NoteCode::LinesLeftOut).with("count", dropped);
+            let event = LogEvent::new(LogCode::LogLinesDropped).with("count", dropped);
             let _ = writeln!(out, "{} {event}", event.code.level());
         }
         // Errors are ignored: the reader of the log may be gone.
--- a/src/observe/logged_note.rs
+++ b/src/observe/logged_event.rs
@@ -3,7 +3,7 @@
 
 /// A log event with the time at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoggedNote {
+pub struct LoggedEvent {
     /// Milliseconds since the process started.
     pub at_ms: Millis,
     /// Number of the event in the catalogue.
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -5,7 +5,7 @@
 mod histograms;
 mod labelled_count;
 mod log_writer;
-mod logged_note;
+mod logged_event;
 mod metrics;
 
 pub use event_log::EventLog;
@@ -13,5 +13,5 @@
 pub use histograms::{HistogramRow, Histograms};
 pub use labelled_count::LabelledCount;
 pub use log_writer::{LogEnd, LogWriter};
-pub use logged_note::LoggedNote;
+pub use logged_event::LoggedEvent;
 pub use metrics::Metrics;
--- a/tests/direct/idle.rs
+++ b/tests/direct/idle.rs
@@ -1,7 +1,7 @@
 //! Endpoints that serve in no group: logged, counted, and ordered to leave ended groups.
 
 use runrail::logic::direct::{DirectEffect, GroupStep, LookResult, OrderResult};
-use runrail::logic::{Effect, NoteCode};
+use runrail::logic::{Effect, LogCode};
 
 use crate::fixture::{open_group, order, Router};
 
@@ -56,7 +56,7 @@
         .done
         .iter()
         .filter_map(|e| match e {
-            Effect::Note(event) if event.code == NoteCode::EndpointIdle => Some(event.to_string()),
+            Effect::Log(event) if event.code == LogCode::EndpointIdle => Some(event.to_string()),
             _ => None,
         })
         .collect();
--- a/tests/direct/logs.rs
+++ b/tests/direct/logs.rs
@@ -44,7 +44,7 @@
     end.wait(Duration::from_secs(10));
     let text = String::from_utf8(sink.text.lock().expect("text").clone()).expect("text");
     assert!(
-        text.contains("log lines left out count="),
+        text.contains("log lines dropped count="),
         "the count of dropped lines is missing"
     );
     assert!(text.contains("ERROR the last"), "an error line was dropped");
--- a/tests/direct/needs.rs
+++ b/tests/direct/needs.rs
@@ -11,7 +11,7 @@
     router.done.clear();
     router.pass(100);
     let events = router.done.iter().filter_map(|e| match e {
-        runrail::logic::Effect::Note(note) if note.code.number() == 638 => Some(note),
+        runrail::logic::Effect::Log(event) if event.code.number() == 638 => Some(event),
         _ => None,
     });
     let needed = events.filter_map(|n| {
--- a/tests/direct/pauses.rs
+++ b/tests/direct/pauses.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use runrail::logic::direct::{DirectEffect, DirectEvent, Problem};
-use runrail::logic::{Effect, Event, NoteCode};
+use runrail::logic::{Effect, Event, LogCode};
 
 use crate::fixture::{open_group, problem, request, routing, Router};
 
@@ -69,8 +69,7 @@
     ask_after_pause(&mut router, "/stream/x");
     router.done.clear();
     router.pass(1_100);
-    let unchecked =
-        |e: &Effect| matches!(e, Effect::Note(n) if n.code == NoteCode::RoutingUnchecked);
+    let unchecked = |e: &Effect| matches!(e, Effect::Log(n) if n.code == LogCode::RoutingUnchecked);
     assert!(router.done.iter().any(unchecked));
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
     assert!(router.take().iter().any(runs));
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -6,7 +6,7 @@
 
 use runrail::logic::direct::{Digest, DirectEvent, ListPace};
 use runrail::logic::router::StoreEntry;
-use runrail::logic::{Effect, NoteCode};
+use runrail::logic::{Effect, LogCode};
 use runrail::types::{InstanceId, StorePosition};
 
 use crate::fixture::{empty_digest, hear, open_group, pace, routing, Router, FENCE};
@@ -184,7 +184,7 @@
     router.tell(DirectEvent::Routing(Arc::new(routing(5))));
     router.done.clear();
     router.tell(DirectEvent::Routing(Arc::new(routing(4))));
-    let is_logged = |e: &Effect| matches!(e, Effect::Note(n) if n.code == NoteCode::RoutingOlder);
+    let is_logged = |e: &Effect| matches!(e, Effect::Log(n) if n.code == LogCode::RoutingOlder);
     assert!(router.done.iter().any(is_logged));
     assert_eq!(router.state().routing.as_ref().map(|r| r.version), Some(5));
 }
--- a/tests/product/events.rs
+++ b/tests/product/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use runrail::logic::NoteCode;
+use runrail::logic::LogCode;
 
 #[test]
 fn the_catalogue_lists_every_event_with_its_level_and_title() {
@@ -19,7 +19,7 @@
                 .join(" ")
         })
         .collect();
-    for code in NoteCode::ALL {
+    for code in LogCode::ALL {
         let row = format!("E{} {} {}", code.number(), code.level(), code.title());
         assert!(listed.remove(&row), "docs/EVENTS.md lacks: {row}");
     }
@@ -31,8 +31,8 @@
 
 #[test]
 fn numbers_are_given_once() {
-    let numbers: BTreeSet<_> = NoteCode::ALL.iter().map(|c| c.number()).collect();
-    assert_eq!(numbers.len(), NoteCode::ALL.len());
+    let numbers: BTreeSet<_> = LogCode::ALL.iter().map(|c| c.number()).collect();
+    assert_eq!(numbers.len(), LogCode::ALL.len());
 }
 
 #[test]
@@ -49,8 +49,8 @@
             }
         }
     }
-    for event in NoteCode::ALL {
-        let name = format!("NoteCode::{event:?}");
+    for event in LogCode::ALL {
+        let name = format!("LogCode::{event:?}");
         let written = code.match_indices(&name).any(|(at, _)| {
             let next = code[at + name.len()..].chars().next();
             !next.is_some_and(char::is_alphanumeric)
