--- a/src/link/dialect.rs
+++ b/src/link/dialect.rs
@@ -4,7 +4,7 @@
 
 use super::{Page, Reply, Watched};
 use crate::logic::direct::{
-    DirectRequest, GroupOrder, LookResult, OrderResult, Problem, RunRequest,
+    DirectRequest, GroupOrder, OrderResult, ProbeResult, Problem, RunRequest,
 };
 use crate::logic::router::{StoreCall, StoreEntry, StoreResult};
 use crate::types::{EndpointEntry, InstanceId, RequestRate, Routing};
@@ -44,7 +44,7 @@
     /// Builds the request for an endpoint's report.
     pub look: fn(&InstanceId, &str) -> Request<Full<Bytes>>,
     /// Parses a report; an error tells why it is invalid.
-    pub looked: fn(StatusCode, &[u8]) -> Result<LookResult, String>,
+    pub looked: fn(StatusCode, &[u8]) -> Result<ProbeResult, String>,
     /// Builds an order to an endpoint.
     pub order: fn(&InstanceId, &str, &GroupOrder) -> Request<Full<Bytes>>,
     /// Parses the answer to an order.
--- a/src/link/looks.rs
+++ b/src/link/looks.rs
@@ -11,7 +11,7 @@
 
 use super::fault::Fault;
 use super::shared::Shared;
-use crate::logic::direct::{DirectEvent, GroupOrder, LookResult, OrderResult};
+use crate::logic::direct::{DirectEvent, GroupOrder, OrderResult, ProbeResult};
 use crate::logic::{LogCode, LogEvent};
 use crate::types::InstanceId;
 
@@ -42,8 +42,8 @@
                 send_rate(&shared, &id, None, answer.headers());
                 read_report(&shared, &id, answer.status(), answer.body())
             }
-            Ok(Err(Fault::Refused)) => LookResult::Refused,
-            _ => LookResult::Silent,
+            Ok(Err(Fault::Refused)) => ProbeResult::Refused,
+            _ => ProbeResult::Silent,
         };
         shared.send_direct(DirectEvent::Looked { id, result });
     });
@@ -51,10 +51,10 @@
 
 /// Reads a report. An endpoint whose report is invalid is alive all the same; its seat in a
 /// group is then known from the endpoint list only.
-fn read_report(shared: &Shared, id: &InstanceId, status: StatusCode, body: &[u8]) -> LookResult {
+fn read_report(shared: &Shared, id: &InstanceId, status: StatusCode, body: &[u8]) -> ProbeResult {
     (shared.adapter.looked)(status, body).unwrap_or_else(|why| {
         log_unreadable("a report", id.as_str(), &why);
-        LookResult::Alive {
+        ProbeResult::Alive {
             born: None,
             seat: None,
             pace: NORMAL_PACE_PER_MILLE,
--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::{
-    crashes, demand, end, peers, queue, send, DirectRequest, DirectState, EndStage, Flight,
-    Problem, Turn,
+    crashes, demand, finish, peers, queue, send, DirectRequest, DirectState, InFlightRequest,
+    Precedence, Problem, ShutdownStage,
 };
 use crate::logic::Effect;
 use crate::types::{Millis, RouteSpec, Routing};
@@ -20,9 +20,9 @@
     request: DirectRequest,
     out: &mut Vec<Effect>,
 ) {
-    if state.ending != EndStage::Open {
+    if state.ending != ShutdownStage::Accepting {
         let problem = Problem::NotRun(state.knobs.again_ms / 4);
-        return end::refuse(
+        return finish::refuse(
             request.id,
             &request.label,
             problem,
@@ -42,9 +42,9 @@
     request: &DirectRequest,
     out: &mut Vec<Effect>,
 ) {
-    let problem = end::not_yet_problem(state, request.wait_ms);
+    let problem = finish::not_yet_problem(state, request.wait_ms);
     let why = "the routing or the endpoint list is not known yet";
-    end::refuse(request.id, &request.label, problem, why, out);
+    finish::refuse(request.id, &request.label, problem, why, out);
 }
 
 /// Admits a request that arrived at `arrived_at`, and sends it, enqueues it or refuses it.
@@ -59,7 +59,7 @@
         return refuse_not_ready(state, &request, out);
     };
     let Some(route) = routing.route(&request.host, &request.path).cloned() else {
-        return end::refuse(
+        return finish::refuse(
             request.id,
             &request.label,
             Problem::NoRoute,
@@ -68,7 +68,7 @@
         );
     };
     let Ok((account, priority)) = account(&routing, &route, request.key.as_deref()) else {
-        return end::refuse(
+        return finish::refuse(
             request.id,
             &request.label,
             Problem::NoAccount,
@@ -78,11 +78,11 @@
     };
     let fingerprint = request.content.by(account.as_deref());
     if let Some((problem, why)) = crashes::refusal(state, &fingerprint) {
-        return end::refuse(request.id, &request.label, problem, why, out);
+        return finish::refuse(request.id, &request.label, problem, why, out);
     }
     let random = state.random(u64::MAX);
     let Some(service) = route.service(random).cloned() else {
-        return end::refuse(
+        return finish::refuse(
             request.id,
             &request.label,
             Problem::NoRoute,
@@ -108,7 +108,7 @@
         let tokens = (request.prompt, request.answer);
         demand::count_request(state, now, &route, &service, model, tokens);
     }
-    let flight = Flight {
+    let flight = InFlightRequest {
         fingerprint,
         label: request.label,
         service,
@@ -117,7 +117,7 @@
         answer: request.answer,
         account,
         priority,
-        turn: Turn::Fresh,
+        turn: Precedence::Fresh,
         wait_until: arrived_at + queue::max_wait(Some(wait)),
         arrived: arrived_at,
         deadline: arrived_at + wait.max(MIN_WAIT_MS),
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -1,6 +1,6 @@
 //! Handles the answers of endpoints and passes them on to callers.
 
-use super::{crashes, end, endpoints, limit, send, DirectEffect, DirectState, RunPart};
+use super::{crashes, endpoints, finish, limit, send, DirectEffect, DirectState, RunPart};
 use crate::logic::router::Metric;
 use crate::logic::Effect;
 use crate::types::Millis;
@@ -28,7 +28,7 @@
     match part {
         RunPart::Head => on_head(state, now, id, run, out),
         RunPart::Piece { id: event, bytes } => on_stream_event(state, now, id, event, bytes, out),
-        RunPart::End => end::complete(state, now, id, DirectEffect::Finish(id), out),
+        RunPart::End => finish::complete(state, now, id, DirectEffect::Finish(id), out),
         RunPart::Whole { status, not_run } => {
             on_whole_answer(state, now, id, run, status, not_run, out)
         }
@@ -70,7 +70,7 @@
         flight.head_sent = true;
         flight.first_ms = now.saturating_sub(flight.arrived);
         flight.event_at = now;
-        end::record_metric(flight, Metric::FirstPiece, flight.first_ms, out);
+        finish::record_metric(flight, Metric::FirstPiece, flight.first_ms, out);
         out.push(Effect::Direct(DirectEffect::PassHead { request: id, run }));
     }
 }
@@ -125,5 +125,5 @@
         return send::retry(state, now, id, true, "the endpoint failed", out);
     }
     let pass = DirectEffect::PassWhole { request: id, run };
-    end::complete(state, now, id, pass, out);
+    finish::complete(state, now, id, pass, out);
 }
--- a/src/logic/direct/arrivals.rs
+++ b/src/logic/direct/arrivals.rs
@@ -4,14 +4,14 @@
 
 /// Requests for one model in one time slot, or in the sum of several.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Arrivals {
+pub(super) struct ModelArrivals {
     /// All requests, including those sent again after a refusal.
     pub came: ModelDemand,
     /// Requests whose callers were asked to come back, in thousandths of a request.
     pub refused: u64,
 }
 
-impl Arrivals {
+impl ModelArrivals {
     /// No requests for a model.
     pub fn none(model: &Arc<str>) -> Self {
         Self {
--- a/src/logic/direct/choose.rs
+++ b/src/logic/direct/choose.rs
@@ -1,6 +1,6 @@
 //! Chooses the endpoint that a request is sent to.
 
-use super::{limit, rates, DirectState, EndpointView, Flight, Mechanism};
+use super::{limit, rate_limit, DirectState, EndpointView, InFlightRequest, Mechanism};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
 /// Added to the expected delay of an endpoint in another data hall.
@@ -11,7 +11,11 @@
 
 /// Returns the endpoint that is expected to begin first. Endpoints that the request was
 /// not sent to yet come first; failing these, any but the one that it was last sent to.
-pub(super) fn pick(state: &mut DirectState, now: Millis, flight: &Flight) -> Option<InstanceId> {
+pub(super) fn pick(
+    state: &mut DirectState,
+    now: Millis,
+    flight: &InFlightRequest,
+) -> Option<InstanceId> {
     let untried = best_endpoint(state, now, flight, |tried| !flight.tried.contains(tried));
     untried.or_else(|| {
         best_endpoint(state, now, flight, |tried| {
@@ -21,7 +25,7 @@
 }
 
 /// Whether any endpoint could take the request before its wait ends if it had room.
-pub(super) fn has_candidate(state: &DirectState, flight: &Flight) -> bool {
+pub(super) fn has_candidate(state: &DirectState, flight: &InFlightRequest) -> bool {
     let spec = state
         .routing
         .as_ref()
@@ -29,14 +33,14 @@
     let groups = spec.is_some_and(|s| s.engine.is_some());
     let fits = |v: &EndpointView| {
         let fits = v.listed && v.entry.service == flight.service;
-        fits && rates::can_send_by(v, flight.wait_until) && can_serve(v, flight, groups)
+        fits && rate_limit::can_send_by(v, flight.wait_until) && can_serve(v, flight, groups)
     };
     state.endpoints.values().any(fits)
 }
 
 /// Whether an endpoint of the right service can serve the request: any endpoint of a
 /// plain service, or a head of a group with the right model if the service has `groups`.
-fn can_serve(view: &EndpointView, flight: &Flight, groups: bool) -> bool {
+fn can_serve(view: &EndpointView, flight: &InFlightRequest, groups: bool) -> bool {
     let model = flight.model.is_none() || view.entry.model == flight.model;
     !groups || (view.heads() && model)
 }
@@ -44,7 +48,7 @@
 fn best_endpoint(
     state: &mut DirectState,
     now: Millis,
-    flight: &Flight,
+    flight: &InFlightRequest,
     allowed: impl Fn(&(InstanceId, u64)) -> bool,
 ) -> Option<InstanceId> {
     let routing = state.routing.clone()?;
@@ -85,15 +89,15 @@
 
 /// Whether an endpoint can take this request now, apart from its limits of runs and of
 /// prompt tokens.
-fn can_take(view: &EndpointView, now: Millis, flight: &Flight, groups: bool) -> bool {
+fn can_take(view: &EndpointView, now: Millis, flight: &InFlightRequest, groups: bool) -> bool {
     let entry = &view.entry;
     let fits = entry.service == flight.service && !entry.leaving && view.listed;
     let available = view.shunned <= now && view.silent.is_none();
-    fits && available && rates::can_send(view, now) && can_serve(view, flight, groups)
+    fits && available && rate_limit::can_send(view, now) && can_serve(view, flight, groups)
 }
 
 /// Expected time in microseconds until an endpoint begins with a request.
-fn expected_us(view: &EndpointView, flight: &Flight, engine: Option<&EngineSpec>) -> u64 {
+fn expected_us(view: &EndpointView, flight: &InFlightRequest, engine: Option<&EngineSpec>) -> u64 {
     let running = u64::from(view.running);
     let Some(engine) = engine else {
         return running * PLAIN_REQUEST_US;
--- a/src/logic/direct/crashes/crash_state.rs
+++ b/src/logic/direct/crashes/crash_state.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use super::{CrashTable, Doubt, RecentlyServed};
+use super::{CrashTable, RecentlyServed, SuspectedCrash};
 use crate::logic::direct::Fingerprint;
 use crate::logic::router::CallId;
 use crate::types::{InstanceId, Millis};
@@ -11,14 +11,14 @@
     /// Crashes by request.
     pub table: CrashTable,
     /// Endpoints that may have crashed and are probed.
-    pub suspected_crashes: BTreeMap<InstanceId, Doubt>,
+    pub suspected_crashes: BTreeMap<InstanceId, SuspectedCrash>,
     /// Requests that were answered in full recently, and are not suspected of crashes.
     pub served: RecentlyServed,
     /// Requests whose records are still to be sent to the other routers: when next, and how
     /// many times more.
     pub pending_reports: BTreeMap<Fingerprint, (Millis, u32)>,
     /// Writes to the key-value service.
-    pub keep: Keep,
+    pub keep: CrashStore,
     /// Number of requests that were refused as blocked since the process started.
     pub refused: u64,
 }
@@ -26,7 +26,7 @@
 /// State of the writes of blocked requests to the key-value service, from which routers that
 /// start later read them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Keep {
+pub struct CrashStore {
     /// Requests whose records are to be written, and from when on.
     pub queue: BTreeMap<Fingerprint, Millis>,
     /// The request whose record is being written.
--- a/src/logic/direct/crashes/keep.rs
+++ b/src/logic/direct/crashes/crash_store.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use super::crash_table::RETENTION_MS;
-use super::{share, CrashReport, Keep};
+use super::{share, CrashReport, CrashStore};
 use crate::logic::direct::{DirectState, Fingerprint};
 use crate::logic::router::{Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -163,8 +163,8 @@
     for request in blocked {
         queue.insert(request, now + state.random(WRITE_SPREAD_MS));
     }
-    state.crashes.keep = Keep {
+    state.crashes.keep = CrashStore {
         queue,
-        ..Keep::default()
+        ..CrashStore::default()
     };
 }
--- a/src/logic/direct/crashes/mod.rs
+++ b/src/logic/direct/crashes/mod.rs
@@ -12,22 +12,24 @@
 mod crash_record;
 mod crash_report;
 mod crash_state;
+mod crash_store;
 mod crash_table;
-mod doubt;
-mod keep;
 mod recently_served;
 mod share;
 mod suspect;
+mod suspected_crash;
 
 pub use crash::Crash;
 pub use crash_record::CrashRecord;
 pub use crash_report::CrashReport;
-pub use crash_state::{CrashState, Keep};
+pub use crash_state::{CrashState, CrashStore};
 pub use crash_table::CrashTable;
-pub use doubt::Doubt;
 pub use recently_served::RecentlyServed;
+pub use suspected_crash::SuspectedCrash;
 
-pub(super) use keep::{on_store_entries, on_store_reply, on_store_restored, on_watch_changes};
+pub(super) use crash_store::{
+    on_store_entries, on_store_reply, on_store_restored, on_watch_changes,
+};
 pub(super) use share::on_crash_reports;
 pub(super) use suspect::{is_risky, on_answered, on_probe_result, on_run_broken, on_tick, refusal};
 
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -1,7 +1,7 @@
 //! Finds the requests that crash endpoints.
 
-use super::{share, Crash, CrashRecord, Doubt};
-use crate::logic::direct::{end, DirectEffect, DirectState, Fingerprint, LookResult, Problem};
+use super::{share, Crash, CrashRecord, SuspectedCrash};
+use crate::logic::direct::{finish, DirectEffect, DirectState, Fingerprint, ProbeResult, Problem};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
@@ -37,28 +37,28 @@
         return;
     }
     let at = run.at.clone();
-    let doubt = state
+    let suspected = state
         .crashes
         .suspected_crashes
         .entry(at.clone())
         .or_default();
-    if doubt.requests.is_empty() {
-        doubt.born = view.entry.born;
-        doubt.misses = 0;
+    if suspected.requests.is_empty() {
+        suspected.born = view.entry.born;
+        suspected.misses = 0;
     }
-    doubt.requests.insert(flight.fingerprint);
+    suspected.requests.insert(flight.fingerprint);
     probe(state, now, &at, out);
 }
 
 /// Probes an endpoint that may have crashed, unless a probe is pending or was just answered.
 fn probe(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
     let addr = state.endpoints.get(id).map(|v| v.entry.addr);
-    let doubt = state.crashes.suspected_crashes.get_mut(id);
-    let (Some(addr), Some(doubt)) = (addr, doubt) else {
+    let suspected = state.crashes.suspected_crashes.get_mut(id);
+    let (Some(addr), Some(suspected)) = (addr, suspected) else {
         return;
     };
-    if !doubt.probe_pending && now >= doubt.next_at {
-        doubt.probe_pending = true;
+    if !suspected.probe_pending && now >= suspected.next_at {
+        suspected.probe_pending = true;
         let id = id.clone();
         out.push(Effect::Direct(DirectEffect::Look { id, addr }));
     }
@@ -71,10 +71,10 @@
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
-    result: &LookResult,
+    result: &ProbeResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some(doubt) = state
+    let Some(suspected) = state
         .crashes
         .suspected_crashes
         .get_mut(id)
@@ -82,19 +82,19 @@
     else {
         return;
     };
-    doubt.probe_pending = false;
-    doubt.next_at = now + PROBE_INTERVAL_MS;
-    if matches!(result, LookResult::Silent) && doubt.misses + 1 < MAX_MISSES {
-        doubt.misses += 1;
+    suspected.probe_pending = false;
+    suspected.next_at = now + PROBE_INTERVAL_MS;
+    if matches!(result, ProbeResult::Silent) && suspected.misses + 1 < MAX_MISSES {
+        suspected.misses += 1;
         return;
     }
-    let requests = std::mem::take(&mut doubt.requests);
-    if !has_ended(doubt, result) {
+    let requests = std::mem::take(&mut suspected.requests);
+    if !has_ended(suspected, result) {
         return;
     }
     let crash = Crash {
         endpoint: id.clone(),
-        born: doubt.born,
+        born: suspected.born,
     };
     for request in requests {
         count_crash(state, now, request, &CrashRecord::of(crash.clone()), out);
@@ -110,14 +110,14 @@
 
 /// Whether the suspected process has ended: nothing or another endpoint listens at its
 /// address, or it has started again since.
-fn has_ended(doubt: &Doubt, result: &LookResult) -> bool {
+fn has_ended(suspected: &SuspectedCrash, result: &ProbeResult) -> bool {
     match result {
-        LookResult::Refused | LookResult::Replaced => true,
-        LookResult::Alive { born, .. } => {
-            let starts = doubt.born.zip(*born);
+        ProbeResult::Refused | ProbeResult::Replaced => true,
+        ProbeResult::Alive { born, .. } => {
+            let starts = suspected.born.zip(*born);
             starts.is_some_and(|(before, after)| after > before)
         }
-        LookResult::Silent => false,
+        ProbeResult::Silent => false,
     }
 }
 
@@ -150,12 +150,13 @@
         .with("fingerprint", request)
         .with("endpoints", ids.join(","));
     out.push(Effect::Log(event));
-    let has_event = |f: &crate::logic::direct::Flight| f.run.as_ref().is_some_and(|r| r.moved);
+    let has_event =
+        |f: &crate::logic::direct::InFlightRequest| f.run.as_ref().is_some_and(|r| r.moved);
     let in_flight = state.flights.iter();
     let ended = in_flight.filter(|(_, f)| f.fingerprint == request && !has_event(f));
     for id in ended.map(|(id, _)| *id).collect::<Vec<_>>() {
         state.crashes.refused += 1;
-        end::refuse_blocked(state, id, out);
+        finish::refuse_blocked(state, id, out);
     }
 }
 
@@ -188,7 +189,7 @@
             "endpoints crashed while running it",
         ));
     }
-    let is_same = |f: &crate::logic::direct::Flight| f.fingerprint == *request;
+    let is_same = |f: &crate::logic::direct::InFlightRequest| f.fingerprint == *request;
     let risky = state.crashes.table.suspected(request) >= MIN_RISKY_CRASHES;
     if risky && state.flights.values().any(is_same) {
         let retry = Problem::NotRun(state.knobs.again_ms);
@@ -203,8 +204,10 @@
 /// Whether a request is risky, counting also the crashes that it is suspected of while the
 /// endpoints are still being probed.
 pub(in crate::logic::direct) fn is_risky(state: &DirectState, request: &Fingerprint) -> bool {
-    let doubts = state.crashes.suspected_crashes.values();
-    let unconfirmed = doubts.filter(|d| d.requests.contains(request)).count();
+    let suspected_crashes = state.crashes.suspected_crashes.values();
+    let unconfirmed = suspected_crashes
+        .filter(|d| d.requests.contains(request))
+        .count();
     state.crashes.table.suspected(request) + unconfirmed >= MIN_RISKY_CRASHES
 }
 
@@ -216,14 +219,16 @@
     out: &mut Vec<Effect>,
 ) {
     state.crashes.table.remove_expired(now);
-    let (doubts, endpoints) = (&mut state.crashes.suspected_crashes, &state.endpoints);
-    let is_open = |d: &Doubt| d.probe_pending || !d.requests.is_empty() || now < d.next_at;
-    doubts.retain(|id, d| endpoints.contains_key(id) && is_open(d));
-    let due = doubts.iter().filter(|(_, d)| !d.requests.is_empty());
+    let (suspected_crashes, endpoints) = (&mut state.crashes.suspected_crashes, &state.endpoints);
+    let is_open = |d: &SuspectedCrash| d.probe_pending || !d.requests.is_empty() || now < d.next_at;
+    suspected_crashes.retain(|id, d| endpoints.contains_key(id) && is_open(d));
+    let due = suspected_crashes
+        .iter()
+        .filter(|(_, d)| !d.requests.is_empty());
     let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
     for id in due {
         probe(state, now, &id, out);
     }
     share::send_due(state, now, out);
-    super::keep::on_tick(state, now, out);
+    super::crash_store::on_tick(state, now, out);
 }
--- a/src/logic/direct/crashes/doubt.rs
+++ b/src/logic/direct/crashes/suspected_crash.rs
@@ -5,7 +5,7 @@
 
 /// An endpoint that may have crashed, and the requests that may have caused it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Doubt {
+pub struct SuspectedCrash {
     /// When the endpoint process started, in Unix milliseconds; absent where the platform
     /// doesn't report it.
     pub born: Option<u64>,
--- a/src/logic/direct/demand.rs
+++ b/src/logic/direct/demand.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::arrivals::Arrivals;
+use super::arrivals::ModelArrivals;
 use super::{tree, DirectEffect, DirectState, ModelDemand, PeerMessage};
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, RouteSpec};
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Demand {
     /// Slots by number, the oldest first.
-    slots: VecDeque<(u64, BTreeMap<Arc<str>, Arrivals>)>,
+    slots: VecDeque<(u64, BTreeMap<Arc<str>, ModelArrivals>)>,
     /// When the first request came.
     since: Option<Millis>,
     /// Reports of other routers by sender: arrival, number of routers counted, demand a second.
@@ -64,24 +64,24 @@
     /// This router's own demand a second, by model.
     fn own(&self, now: Millis) -> Vec<ModelDemand> {
         let oldest = (now / SLOT_MS).saturating_sub(SLOTS);
-        let mut sums: BTreeMap<Arc<str>, Arrivals> = BTreeMap::new();
+        let mut sums: BTreeMap<Arc<str>, ModelArrivals> = BTreeMap::new();
         for (_, models) in self.slots.iter().filter(|(slot, _)| *slot > oldest) {
             for (model, arrivals) in models {
                 let sum = sums
                     .entry(model.clone())
-                    .or_insert_with(|| Arrivals::none(model));
+                    .or_insert_with(|| ModelArrivals::none(model));
                 sum.add(arrivals);
             }
         }
         let span = now.saturating_sub(self.since.unwrap_or(now));
         let span = span.clamp(SLOT_MS, SLOTS * SLOT_MS);
-        let per_second = |arrivals: Arrivals| arrivals.first_tries().scaled(1_000, span);
-        let asked = |arrivals: &Arrivals| arrivals.came.requests > 0;
+        let per_second = |arrivals: ModelArrivals| arrivals.first_tries().scaled(1_000, span);
+        let asked = |arrivals: &ModelArrivals| arrivals.came.requests > 0;
         sums.into_values().filter(asked).map(per_second).collect()
     }
 
     /// Requests for a model in the current slot.
-    fn slot(&mut self, now: Millis, model: &Arc<str>) -> Option<&mut Arrivals> {
+    fn slot(&mut self, now: Millis, model: &Arc<str>) -> Option<&mut ModelArrivals> {
         let slot = now / SLOT_MS;
         if self.slots.back().map(|s| s.0) != Some(slot) {
             self.slots.push_back((slot, BTreeMap::new()));
@@ -93,7 +93,7 @@
         Some(
             models
                 .entry(model.clone())
-                .or_insert_with(|| Arrivals::none(model)),
+                .or_insert_with(|| ModelArrivals::none(model)),
         )
     }
 
--- a/src/logic/direct/digest.rs
+++ b/src/logic/direct/digest.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use super::{EntryNews, ModelDemand};
+use super::{EndpointUpdate, ModelDemand};
 use crate::types::{InstanceId, Millis, StorePosition};
 
 /// What the planner broadcasts to all other routers, so that they needn't read the store.
@@ -31,5 +31,5 @@
     /// Their demand a second, by model.
     pub demand: Vec<ModelDemand>,
     /// Endpoint updates, each with the position up to which it was read.
-    pub news: Vec<(StorePosition, EntryNews)>,
+    pub news: Vec<(StorePosition, EndpointUpdate)>,
 }
--- a/src/logic/direct/digest_part.rs
+++ b/src/logic/direct/digest_part.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::{EntryNews, NewsBatch};
+use super::{EndpointUpdate, UpdateBatch};
 use crate::types::StorePosition;
 
 /// Most bytes of updates in one digest, which leaves room for the rest of the datagram.
@@ -23,7 +23,7 @@
     /// Size of all updates, those left out included.
     bytes: usize,
     /// The updates, each with the position up to which it was read.
-    pub news: Vec<(StorePosition, EntryNews)>,
+    pub news: Vec<(StorePosition, EndpointUpdate)>,
 }
 
 impl DigestPart {
@@ -39,7 +39,7 @@
     }
 
     /// Adds a batch of updates, as far as there is room.
-    fn add(&mut self, batch: &NewsBatch) {
+    fn add(&mut self, batch: &UpdateBatch) {
         self.upto = self.upto.max(batch.after);
         for update in &batch.news {
             self.bytes += update.bytes();
@@ -54,7 +54,10 @@
 /// Splits the latest batches of updates into parts, with as many batches in one part as fit. A
 /// batch isn't spread over several parts: one that is larger than a part is cut, and the other
 /// routers read the list. Without batches there is one empty part at position `at`.
-pub(super) fn split_into_parts(recent: &VecDeque<NewsBatch>, at: StorePosition) -> Vec<DigestPart> {
+pub(super) fn split_into_parts(
+    recent: &VecDeque<UpdateBatch>,
+    at: StorePosition,
+) -> Vec<DigestPart> {
     let mut bytes_left = FULL_PARTS * MAX_UPDATE_BYTES;
     let fits = recent.iter().rev().take_while(|batch| {
         let bytes = batch.bytes().min(MAX_UPDATE_BYTES);
--- a/src/logic/direct/digest_state.rs
+++ b/src/logic/direct/digest_state.rs
@@ -1,15 +1,15 @@
 use std::collections::VecDeque;
 
-use super::{EntryNews, ListPace, NewsBatch};
+use super::{EndpointUpdate, ListPace, UpdateBatch};
 use crate::types::{Millis, StorePosition};
 
 /// State of digests: those that this router sends while it plans, and those that it receives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DigestState {
     /// Updates that have no store position yet.
-    pub pending: Vec<EntryNews>,
+    pub pending: Vec<EndpointUpdate>,
     /// Batches of updates that are still repeated in digests, the oldest first.
-    pub recent: VecDeque<NewsBatch>,
+    pub recent: VecDeque<UpdateBatch>,
     /// When the list was last known to be current.
     pub list_at: Millis,
     /// When the routing was last known to be current.
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -6,8 +6,8 @@
 //! calm run of 34 s with 52 routers digests cut the calls to the store from 10,166 to 2,474.
 
 use super::digest_part::split_into_parts;
-use super::{demand, endpoints, tree, DirectEffect, DirectState, EntryNews, ListPace};
-use super::{Digest, Mechanism, NewsBatch, PeerMessage};
+use super::{demand, endpoints, tree, DirectEffect, DirectState, EndpointUpdate, ListPace};
+use super::{Digest, Mechanism, PeerMessage, UpdateBatch};
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, StorePosition};
 
@@ -29,7 +29,7 @@
 const VALID_MS: Millis = 1_200;
 
 /// Adds an endpoint update to those that have no store position yet.
-pub(super) fn add_update(state: &mut DirectState, update: EntryNews) {
+pub(super) fn add_update(state: &mut DirectState, update: EndpointUpdate) {
     // The entries of the first reading are no changes.
     if state.listed_once {
         state.digests.pending.push(update);
@@ -42,7 +42,7 @@
     let Some(view) = state.endpoints.get(id) else {
         return;
     };
-    let update = EntryNews::changed(id, &view.entry);
+    let update = EndpointUpdate::changed(id, &view.entry);
     add_update(state, update);
     let known = state.listed_at;
     close_batch(state, now, known, known);
@@ -57,7 +57,7 @@
     after: StorePosition,
 ) {
     let digests = &mut state.digests;
-    let batch = NewsBatch {
+    let batch = UpdateBatch {
         at: now,
         before,
         after,
@@ -65,7 +65,7 @@
     };
     digests.changed |= !batch.news.is_empty();
     digests.recent.push_back(batch);
-    let old = |b: &NewsBatch| now > b.at + REPEAT_MS;
+    let old = |b: &UpdateBatch| now > b.at + REPEAT_MS;
     while digests.recent.front().is_some_and(old) {
         digests.recent.pop_front();
     }
--- a/src/logic/direct/direct_event.rs
+++ b/src/logic/direct/direct_event.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{DirectRequest, LookResult, OrderResult, PeerMessage, RunPart};
+use super::{DirectRequest, OrderResult, PeerMessage, ProbeResult, RunPart};
 use crate::types::{EndpointEntry, InstanceId, RequestRate, Routing, StorePosition};
 
 /// An event for a router with direct links, beside ticks and replies of the store.
@@ -63,7 +63,7 @@
         /// The endpoint.
         id: InstanceId,
         /// The result.
-        result: LookResult,
+        result: ProbeResult,
     },
     /// A message from another router.
     Peer {
--- a/src/logic/direct/direct_knobs.rs
+++ b/src/logic/direct/direct_params.rs
@@ -5,7 +5,7 @@
 
 /// Parameters of a router with direct links.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct DirectKnobs {
+pub struct DirectParams {
     /// Shortest length of the planner lease; it is longer for large fleets.
     pub lease_ms: Millis,
     /// Shortest time between two planning passes; it is longer for large fleets.
@@ -32,14 +32,14 @@
     pub off: BTreeSet<Mechanism>,
 }
 
-impl DirectKnobs {
+impl DirectParams {
     /// Whether a mechanism is switched on.
     pub(crate) fn on(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 }
 
-impl Default for DirectKnobs {
+impl Default for DirectParams {
     fn default() -> Self {
         Self {
             lease_ms: 1_000,
--- a/src/logic/direct/direct_state.rs
+++ b/src/logic/direct/direct_state.rs
@@ -5,8 +5,9 @@
 use super::crashes::CrashState;
 use super::plan::{IdleReason, PlanState};
 use super::{
-    Asked, Demand, DigestState, DirectKnobs, DirectRequest, EndStage, EndpointView, Flight, Line,
-    LineKey, PauseState, Presence, RecentPeak, RetryWindow,
+    Demand, DigestState, DirectParams, DirectRequest, EndpointView, InFlightRequest,
+    ObservationRequest, QueueKey, RecentPeak, Registration, RetryWindow, RoutingRecheck,
+    ShutdownStage, WaitQueue,
 };
 use crate::logic::router::{CallId, StoreCall};
 use crate::logic::Effect;
@@ -16,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DirectState {
     /// Parameters of its decisions.
-    pub knobs: DirectKnobs,
+    pub knobs: DirectParams,
     /// This router's instance.
     pub me: InstanceId,
     /// When this process handled its first event.
@@ -32,7 +33,7 @@
     /// When the tick before it came: everything sent to this process by then has been handled.
     pub drained_at: Millis,
     /// Reading of the routing that requests wait for after a pause of the process.
-    pub pause: PauseState,
+    pub pause: RoutingRecheck,
     /// Routing in force.
     pub routing: Option<Arc<Routing>>,
     /// Whether a complete reading of the endpoint list has arrived.
@@ -48,9 +49,9 @@
     /// Endpoints by id.
     pub endpoints: BTreeMap<InstanceId, EndpointView>,
     /// In-flight requests: those without a final answer.
-    pub flights: BTreeMap<u64, Flight>,
+    pub flights: BTreeMap<u64, InFlightRequest>,
     /// Wait queues of requests for an endpoint.
-    pub lines: BTreeMap<LineKey, Line>,
+    pub lines: BTreeMap<QueueKey, WaitQueue>,
     /// Requests held until the routing and the list are known, with their arrival.
     pub early: Vec<(Millis, DirectRequest)>,
     /// Demand of callers.
@@ -66,7 +67,7 @@
     /// Retries that it didn't allow, since this process started.
     pub retries_unpaid: u64,
     /// State of this router's address in the key-value service.
-    pub presence: Presence,
+    pub presence: Registration,
     /// Addresses of the other routers.
     pub peers: BTreeMap<InstanceId, SocketAddr>,
     /// From when this router sends retries; never before the other routers are known.
@@ -74,7 +75,7 @@
     /// Most routers known at a time within the retry window, this one included.
     pub routers: RecentPeak,
     /// Probe requests of other routers that await a reply, by endpoint.
-    pub asked: BTreeMap<InstanceId, Vec<Asked>>,
+    pub asked: BTreeMap<InstanceId, Vec<ObservationRequest>>,
     /// State of the detection of requests that crash endpoints.
     pub crashes: CrashState,
     /// State of the planner, its lease included.
@@ -84,12 +85,12 @@
     /// When this process was told to shut down.
     pub stopping: Option<Millis>,
     /// Stage of the shutdown.
-    pub ending: EndStage,
+    pub ending: ShutdownStage,
 }
 
 impl DirectState {
     /// Initial state of a router.
-    pub fn new(me: InstanceId, hall: &str, seed: u64, knobs: DirectKnobs) -> Self {
+    pub fn new(me: InstanceId, hall: &str, seed: u64, knobs: DirectParams) -> Self {
         Self {
             knobs,
             me,
@@ -99,7 +100,7 @@
             addr: None,
             hall: Arc::from(hall),
             seed,
-            pause: PauseState::default(),
+            pause: RoutingRecheck::default(),
             routing: None,
             listed: false,
             listed_once: false,
@@ -116,7 +117,7 @@
             retries: BTreeMap::new(),
             retries_paid: 0,
             retries_unpaid: 0,
-            presence: Presence::default(),
+            presence: Registration::default(),
             peers: BTreeMap::new(),
             retries_from: None,
             routers: RecentPeak::default(),
@@ -125,7 +126,7 @@
             plan: PlanState::default(),
             ready: false,
             stopping: None,
-            ending: EndStage::default(),
+            ending: ShutdownStage::default(),
         }
     }
 
--- a/src/logic/direct/entry_news.rs
+++ b/src/logic/direct/endpoint_update.rs
@@ -6,7 +6,7 @@
 
 /// An endpoint update: a change of the endpoint list that affects where requests may go.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum EntryNews {
+pub enum EndpointUpdate {
     /// An endpoint is new in the list, or has restarted.
     Listed(InstanceId, EndpointEntry),
     /// A listed endpoint has become or ceased to be the head of an open group, or is about to
@@ -38,7 +38,7 @@
 /// Upper bound for the encoded size of the id of an endpoint that is gone.
 const GONE_BYTES: usize = 64;
 
-impl EntryNews {
+impl EndpointUpdate {
     /// The update that other routers need when the entry of a listed endpoint changes; none
     /// if the change doesn't affect where requests go.
     pub(super) fn of(
@@ -47,7 +47,7 @@
         entry: &EndpointEntry,
     ) -> Option<Self> {
         if before.born != entry.born {
-            return Some(EntryNews::Listed(id.clone(), entry.clone()));
+            return Some(EndpointUpdate::Listed(id.clone(), entry.clone()));
         }
         let routed_by = |e: &EndpointEntry| (e.open_epoch(), e.leaving);
         (routed_by(before) != routed_by(entry)).then(|| Self::changed(id, entry))
@@ -55,7 +55,7 @@
 
     /// The fields of an entry that affect where requests go.
     pub(super) fn changed(id: &InstanceId, entry: &EndpointEntry) -> Self {
-        EntryNews::Changed {
+        EndpointUpdate::Changed {
             id: id.clone(),
             born: entry.born,
             beats: entry.beats,
@@ -68,16 +68,18 @@
     /// The endpoint's id.
     pub fn id(&self) -> &InstanceId {
         match self {
-            EntryNews::Listed(id, _) | EntryNews::Changed { id, .. } | EntryNews::Gone(id) => id,
+            EndpointUpdate::Listed(id, _)
+            | EndpointUpdate::Changed { id, .. }
+            | EndpointUpdate::Gone(id) => id,
         }
     }
 
     /// Upper bound for its encoded size, in bytes.
     pub(super) fn bytes(&self) -> usize {
         match self {
-            EntryNews::Listed(..) => ENTRY_BYTES,
-            EntryNews::Changed { .. } => CHANGE_BYTES,
-            EntryNews::Gone(_) => GONE_BYTES,
+            EndpointUpdate::Listed(..) => ENTRY_BYTES,
+            EndpointUpdate::Changed { .. } => CHANGE_BYTES,
+            EndpointUpdate::Gone(_) => GONE_BYTES,
         }
     }
 }
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -1,6 +1,8 @@
 //! What this router knows about endpoints, from the endpoint list and from its own runs.
 
-use super::{digests, limit, plan, DirectState, EndpointView, EntryNews, LookResult, Sight};
+use super::{
+    digests, limit, plan, DirectState, EndpointUpdate, EndpointView, Observation, ProbeResult,
+};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis};
 
@@ -59,7 +61,7 @@
             out.push(Effect::Log(
                 LogEvent::new(LogCode::EndpointUnlisted).with("endpoint", &id),
             ));
-            digests::add_update(state, EntryNews::Gone(id));
+            digests::add_update(state, EndpointUpdate::Gone(id));
         }
         return;
     };
@@ -81,7 +83,7 @@
                 .with("service", &entry.service);
             out.push(Effect::Log(event));
         }
-        digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
+        digests::add_update(state, EndpointUpdate::Listed(id.clone(), entry.clone()));
         let view = EndpointView {
             new: state.listed_once,
             ..EndpointView::new(entry, now)
@@ -90,9 +92,9 @@
         return;
     };
     let update = if view.listed {
-        EntryNews::of(&id, &view.entry, &entry)
+        EndpointUpdate::of(&id, &view.entry, &entry)
     } else {
-        Some(EntryNews::Listed(id.clone(), entry.clone()))
+        Some(EndpointUpdate::Listed(id.clone(), entry.clone()))
     };
     if entry.leaving && !view.entry.leaving {
         out.push(Effect::Log(
@@ -157,7 +159,7 @@
             ..EndpointView::new(entry.clone(), now)
         },
     );
-    digests::add_update(state, EntryNews::Listed(id.clone(), entry.clone()));
+    digests::add_update(state, EndpointUpdate::Listed(id.clone(), entry.clone()));
     plan::on_endpoint_restarted(state, now, id, before.entry.seat.as_ref(), out);
 }
 
@@ -167,10 +169,10 @@
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
-    result: &LookResult,
+    result: &ProbeResult,
     out: &mut Vec<Effect>,
 ) {
-    let LookResult::Alive { born, seat, .. } = result else {
+    let ProbeResult::Alive { born, seat, .. } = result else {
         return;
     };
     let Some(view) = state.endpoints.get(id).filter(|v| v.listed) else {
@@ -199,7 +201,7 @@
 pub(super) fn on_endpoint_update(
     state: &mut DirectState,
     now: Millis,
-    update: EntryNews,
+    update: EndpointUpdate,
     later: bool,
     out: &mut Vec<Effect>,
 ) -> bool {
@@ -214,14 +216,14 @@
         older.as_ref().map_or(later, is_newer_than)
     };
     match update {
-        EntryNews::Gone(id) if later => on_entry_change(state, now, id, None, out),
-        EntryNews::Gone(_) => {}
-        EntryNews::Listed(id, entry) => {
+        EndpointUpdate::Gone(id) if later => on_entry_change(state, now, id, None, out),
+        EndpointUpdate::Gone(_) => {}
+        EndpointUpdate::Listed(id, entry) => {
             if newer(entry.born, entry.beats, &entry.seat) {
                 on_entry_change(state, now, id, Some(entry), out);
             }
         }
-        EntryNews::Changed {
+        EndpointUpdate::Changed {
             id,
             born,
             beats,
@@ -301,21 +303,21 @@
     state: &DirectState,
     now: Millis,
     id: &InstanceId,
-    result: &LookResult,
+    result: &ProbeResult,
     since: Millis,
-) -> Sight {
+) -> Observation {
     let view = state.endpoints.get(id);
     let has_answered = view.is_some_and(|v| v.spoke > since);
     let has_runs = view.is_some_and(|v| v.running > 0);
     let run_broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKEN_RUN_MS);
     match result {
-        LookResult::Replaced => Sight::Gone,
-        LookResult::Alive { .. } => Sight::Alive,
-        _ if has_answered => Sight::Alive,
-        LookResult::Silent => Sight::Silent,
-        LookResult::Refused if has_runs => Sight::Alive,
-        LookResult::Refused if run_broke => Sight::Gone,
-        LookResult::Refused => Sight::Refuses,
+        ProbeResult::Replaced => Observation::Gone,
+        ProbeResult::Alive { .. } => Observation::Alive,
+        _ if has_answered => Observation::Alive,
+        ProbeResult::Silent => Observation::Silent,
+        ProbeResult::Refused if has_runs => Observation::Alive,
+        ProbeResult::Refused if run_broke => Observation::Gone,
+        ProbeResult::Refused => Observation::Refuses,
     }
 }
 
--- a/src/logic/direct/end.rs
+++ b/src/logic/direct/finish.rs
@@ -1,6 +1,8 @@
 //! Last step of a request: gives the caller exactly one final answer.
 
-use super::{crashes, demand, endpoints, queue, DirectEffect, DirectState, Flight, Problem};
+use super::{
+    crashes, demand, endpoints, queue, DirectEffect, DirectState, InFlightRequest, Problem,
+};
 use crate::logic::router::Metric;
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
@@ -38,7 +40,12 @@
 }
 
 /// Records a metric of a request under its client account and route.
-pub(super) fn record_metric(flight: &Flight, metric: Metric, value: u64, out: &mut Vec<Effect>) {
+pub(super) fn record_metric(
+    flight: &InFlightRequest,
+    metric: Metric,
+    value: u64,
+    out: &mut Vec<Effect>,
+) {
     out.push(Effect::Measure {
         metric,
         account: flight.account.clone().unwrap_or_else(|| "-".into()),
@@ -194,10 +201,11 @@
 
 /// Ends requests whose deadline has passed or is close.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let begun = |f: &Flight| f.head_sent || f.run.as_ref().is_some_and(|r| r.begun);
-    let left = |f: &Flight| f.deadline.saturating_sub(now);
-    let late =
-        |f: &Flight| left(f) == 0 || (left(f) <= UNSENT_MARGIN_MS && !begun(f) && f.has_not_run());
+    let begun = |f: &InFlightRequest| f.head_sent || f.run.as_ref().is_some_and(|r| r.begun);
+    let left = |f: &InFlightRequest| f.deadline.saturating_sub(now);
+    let late = |f: &InFlightRequest| {
+        left(f) == 0 || (left(f) <= UNSENT_MARGIN_MS && !begun(f) && f.has_not_run())
+    };
     let over: Vec<u64> = state
         .flights
         .iter()
--- a/src/logic/direct/flight.rs
+++ b/src/logic/direct/flight.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use super::{Fingerprint, Turn};
+use super::{Fingerprint, Precedence};
 use crate::types::{InstanceId, Millis, RouteSpec};
 
 /// A request counts as late once it has waited for its objective divided by this. The rest
@@ -9,7 +9,7 @@
 
 /// In-flight request: a caller's request that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// Request id from the caller, for logs.
     pub label: String,
     /// Identifies the request if the caller sends it again.
@@ -29,7 +29,7 @@
     /// Priority; 0 is served first.
     pub priority: u8,
     /// Its precedence over other requests that wait.
-    pub turn: Turn,
+    pub turn: Precedence,
     /// Time until which it may wait for an endpoint.
     pub wait_until: Millis,
     /// Time of its arrival.
@@ -55,7 +55,7 @@
     pub event_at: Millis,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Whether no endpoint can have run the request, so that the answer to the caller may say
     /// so. This has to be true also of requests that may be repeated.
     pub fn has_not_run(&self) -> bool {
@@ -66,7 +66,7 @@
     /// objective.
     pub(super) fn is_late(&self, now: Millis) -> bool {
         let allowed = self.route.target_ms / LATE_DIVISOR;
-        self.turn == Turn::Fresh && now >= self.arrived + allowed
+        self.turn == Precedence::Fresh && now >= self.arrived + allowed
     }
 }
 
--- a/src/logic/direct/limit.rs
+++ b/src/logic/direct/limit.rs
@@ -7,7 +7,7 @@
 //! What counts as well within is derived from the quickest recent first token: without any
 //! queue it takes 120 to 170 ms of objectives of 200 to 500 ms, which no limit changes.
 
-use super::{DirectState, EndpointView, Flight, Turn};
+use super::{DirectState, EndpointView, InFlightRequest, Precedence};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
 /// One run in the unit of limits, thousandths of a run.
@@ -59,7 +59,7 @@
 pub(super) fn can_read(
     view: &EndpointView,
     routers: u64,
-    flight: &Flight,
+    flight: &InFlightRequest,
     engine: &EngineSpec,
     now: Millis,
 ) -> bool {
@@ -77,12 +77,17 @@
 }
 
 /// Whether an endpoint has room for one more run of this router.
-pub(super) fn has_room(view: &EndpointView, routers: u64, flight: &Flight, now: Millis) -> bool {
+pub(super) fn has_room(
+    view: &EndpointView,
+    routers: u64,
+    flight: &InFlightRequest,
+    now: Millis,
+) -> bool {
     let limit = current_limit(view, routers);
     let limit = match flight.turn {
-        Turn::Resumed => limit * RESUMED_LIMIT_PERCENT / 100,
-        Turn::Fresh if flight.is_late(now) => limit * LATE_LIMIT_PERCENT / 100,
-        Turn::Fresh => limit,
+        Precedence::Resumed => limit * RESUMED_LIMIT_PERCENT / 100,
+        Precedence::Fresh if flight.is_late(now) => limit * LATE_LIMIT_PERCENT / 100,
+        Precedence::Fresh => limit,
     };
     u64::from(view.running) * RUN_PER_MILLE < limit
 }
--- a/src/logic/direct/asked.rs
+++ b/src/logic/direct/observation_request.rs
@@ -4,7 +4,7 @@
 
 /// Another router's request for an observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct ObservationRequest {
     /// Address that the answer goes to.
     pub from: SocketAddr,
     /// Number of the request, returned with the answer.
--- a/src/logic/direct/pause.rs
+++ b/src/logic/direct/pause.rs
@@ -16,7 +16,7 @@
 
 /// Read of the routing that requests wait for after a pause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct PauseState {
+pub struct RoutingRecheck {
     /// Number of the last read that was requested.
     pub asked: u64,
     /// Time at which it was requested, while requests wait for it.
--- a/src/logic/direct/peer_message.rs
+++ b/src/logic/direct/peer_message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::crashes::CrashReport;
-use super::{Digest, ModelDemand, Sight};
+use super::{Digest, ModelDemand, Observation};
 use crate::types::{InstanceId, RequestRate};
 
 /// Messages between routers with direct links, each in one datagram.
@@ -50,6 +50,6 @@
         /// Number of the request.
         number: u64,
         /// The sender's observation of the endpoint.
-        sight: Sight,
+        sight: Observation,
     },
 }
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 use super::{
-    crashes, demand, digests, endpoints, plan, rates, Asked, DirectEffect, DirectState, LookResult,
-    PeerMessage,
+    crashes, demand, digests, endpoints, plan, rate_limit, DirectEffect, DirectState,
+    ObservationRequest, PeerMessage, ProbeResult,
 };
 use crate::logic::router::{
     CallId, Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult,
@@ -36,7 +36,7 @@
 
 /// State of a router's own address in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Presence {
+pub struct Registration {
     /// Lease of the address, once granted.
     pub lease: Option<i64>,
     /// Whether the address was written under that lease.
@@ -50,14 +50,14 @@
 /// Writes the own address and renews its lease.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     record_routers(state, now);
-    let presence = &state.presence;
-    let (Some(addr), None) = (state.addr, presence.call) else {
+    let registration = &state.presence;
+    let (Some(addr), None) = (state.addr, registration.call) else {
         return;
     };
-    if now < presence.next_at || state.stopping.is_some() {
+    if now < registration.next_at || state.stopping.is_some() {
         return;
     }
-    let op = match (presence.lease, presence.written) {
+    let op = match (registration.lease, registration.written) {
         (None, _) => StoreCall::Grant { ttl_s: LEASE_S },
         (Some(lease), false) => StoreCall::Swap {
             checks: Vec::new(),
@@ -77,28 +77,28 @@
 
 /// Handles the store's reply to a call about the own address.
 pub(super) fn on_store_reply(state: &mut DirectState, now: Millis, result: &StoreResult) {
-    let presence = &mut state.presence;
-    presence.call = None;
+    let registration = &mut state.presence;
+    registration.call = None;
     match result {
-        Ok(StoreReply::Lease { ttl_s: 0, .. }) => *presence = Presence::default(),
+        Ok(StoreReply::Lease { ttl_s: 0, .. }) => *registration = Registration::default(),
         Ok(StoreReply::Lease { lease, .. }) => {
-            let renewed = presence.written;
-            presence.lease = Some(*lease);
-            presence.next_at = if renewed {
+            let renewed = registration.written;
+            registration.lease = Some(*lease);
+            registration.next_at = if renewed {
                 now + RENEW_INTERVAL_MS
             } else {
                 now
             };
         }
         Ok(StoreReply::Swapped { done: true, .. }) => {
-            presence.written = true;
-            presence.next_at = now + RENEW_INTERVAL_MS;
+            registration.written = true;
+            registration.next_at = now + RENEW_INTERVAL_MS;
         }
         _ => {
-            let lost = !presence.written;
-            presence.next_at = now + RETRY_MS;
+            let lost = !registration.written;
+            registration.next_at = now + RETRY_MS;
             if lost {
-                presence.lease = None;
+                registration.lease = None;
             }
         }
     }
@@ -208,7 +208,7 @@
 ) {
     match message {
         PeerMessage::Ask { number, id, addr } => {
-            let asked = Asked {
+            let asked = ObservationRequest {
                 from,
                 number,
                 at: now,
@@ -223,7 +223,7 @@
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
         PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
-        PeerMessage::Rate { id, rate } => rates::on_peer_rate(state, now, &id, rate, out),
+        PeerMessage::Rate { id, rate } => rate_limit::on_peer_rate(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::on_crash_reports(state, now, &reports, out),
         PeerMessage::Seen { number, sight } => plan::on_observation(state, number, sight),
     }
@@ -252,7 +252,7 @@
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
-    result: &LookResult,
+    result: &ProbeResult,
     out: &mut Vec<Effect>,
 ) {
     for asked in state.asked.remove(id).unwrap_or_default() {
--- a/src/logic/direct/plan/ending.rs
+++ b/src/logic/direct/plan/ending.rs
@@ -2,7 +2,7 @@
 
 /// A group that is ending.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ending {
+pub struct EndingGroup {
     /// Its epoch.
     pub epoch: u64,
     /// Its head; none while no entry of the list shows it.
--- a/src/logic/direct/plan/fill.rs
+++ b/src/logic/direct/plan/fill.rs
@@ -8,7 +8,7 @@
 use super::survey::{self, Place};
 use super::trade::{find_trade, has_pending_trade, try_trade};
 use super::value::{readiness, readiness_by_model, worth, COLD};
-use super::{form, place, PlaceInput, PlaceModel};
+use super::{form, place, PlacementInput, PlacementModel};
 use crate::logic::direct::DirectState;
 use crate::logic::Effect;
 use crate::types::{EngineModel, EngineSpec, InstanceId, Millis};
@@ -82,11 +82,11 @@
             continue;
         };
         let places: Vec<_> = sizes.iter().filter(|(p, _)| p.0 == service).collect();
-        let model = |m: &EngineModel| PlaceModel {
+        let model = |m: &EngineModel| PlacementModel {
             size: m.size,
             share: m.share,
         };
-        let input = PlaceInput {
+        let input = PlacementInput {
             domains: places.iter().map(|(_, n)| **n).collect(),
             models: engine.models.iter().map(model).collect(),
         };
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{look, order, retire, Ending, EndingStep, Forming, OrderUse};
+use super::{look, order, retire, EndingGroup, EndingStep, FormingGroup, OrderUse};
 use crate::logic::direct::{digests, DirectState, GroupStep};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis, SeatState};
@@ -43,7 +43,7 @@
         .with("members", joined_ids(&members))
         .with("expected_ms", takes);
     out.push(Effect::Log(event));
-    let forming = Forming {
+    let forming = FormingGroup {
         epoch,
         service: place.0.clone(),
         domain: place.1.clone(),
@@ -73,7 +73,7 @@
 fn send_join_orders(
     state: &mut DirectState,
     group: &Arc<str>,
-    forming: &Forming,
+    forming: &FormingGroup,
     out: &mut Vec<Effect>,
 ) {
     for id in &forming.members {
@@ -108,7 +108,7 @@
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
-    forming: &mut Forming,
+    forming: &mut FormingGroup,
     out: &mut Vec<Effect>,
 ) -> bool {
     let seats: Vec<_> = forming
@@ -170,7 +170,7 @@
 
 /// Records the seats of a group that has opened, as the list may lag behind for some of
 /// its members, which would count as free.
-fn record_seats(state: &mut DirectState, now: Millis, group: &Arc<str>, forming: &Forming) {
+fn record_seats(state: &mut DirectState, now: Millis, group: &Arc<str>, forming: &FormingGroup) {
     for (rank, id) in forming.members.iter().enumerate() {
         let seat = GroupSeat {
             group: group.clone(),
@@ -226,7 +226,7 @@
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
-    forming: &Forming,
+    forming: &FormingGroup,
     why: &str,
     out: &mut Vec<Effect>,
 ) {
@@ -235,7 +235,7 @@
         .with("why", why);
     out.push(Effect::Log(event));
     if forming.opened.is_some() || forming.adopted {
-        let ending = Ending {
+        let ending = EndingGroup {
             epoch: forming.epoch,
             head: forming.members.first().cloned(),
             others: forming.members.iter().skip(1).cloned().collect(),
--- a/src/logic/direct/plan/forming.rs
+++ b/src/logic/direct/plan/forming.rs
@@ -5,7 +5,7 @@
 
 /// A group that is being formed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Forming {
+pub struct FormingGroup {
     /// Its epoch.
     pub epoch: u64,
     /// Its service.
--- a/src/logic/direct/plan/group_view.rs
+++ b/src/logic/direct/plan/group_view.rs
@@ -15,12 +15,12 @@
     /// Its model, if the entry of any member shows it.
     pub model: Option<Arc<str>>,
     /// Its members that aren't lost, by rank.
-    pub seats: BTreeMap<usize, Seat>,
+    pub seats: BTreeMap<usize, GroupMember>,
 }
 
 /// A member of a group, as its entry in the list shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct GroupMember {
     /// Instance id.
     pub id: InstanceId,
     /// State of its seat.
@@ -43,7 +43,7 @@
     }
 
     /// The member that takes requests.
-    pub fn head(&self) -> Option<&Seat> {
+    pub fn head(&self) -> Option<&GroupMember> {
         self.seats.get(&0)
     }
 }
--- a/src/logic/direct/plan/idle.rs
+++ b/src/logic/direct/plan/idle.rs
@@ -15,7 +15,7 @@
 
 /// An endpoint that is free.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Idle {
+pub struct IdleEndpoint {
     /// Since when.
     pub since: Millis,
     /// Why.
@@ -43,7 +43,7 @@
         if now >= since + MIN_IDLE_MS && state.knobs.on(Mechanism::Freeing) {
             left = send_leave_once(state, &id, left, out);
         }
-        let entry = Idle {
+        let entry = IdleEndpoint {
             since,
             reason,
             told,
--- a/src/logic/direct/plan/inspect.rs
+++ b/src/logic/direct/plan/inspect.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{look, retire, survey, Ending, EndingStep, Forming, GroupView, Seat};
+use super::{look, retire, survey, EndingGroup, EndingStep, FormingGroup, GroupMember, GroupView};
 use crate::logic::direct::DirectState;
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, SeatState};
@@ -77,7 +77,7 @@
         .keys()
         .any(|id| seat_of(id).is_some_and(|s| s.group == *name));
     let is_begun = |s: SeatState| matches!(s, SeatState::Joining | SeatState::Ready);
-    let is_forming = |head: &Seat| is_begun(head.state) || !group.loaded();
+    let is_forming = |head: &GroupMember| is_begun(head.state) || !group.loaded();
     !has_lost && group.head().is_none_or(is_forming)
 }
 
@@ -93,7 +93,7 @@
 fn adopt(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
     let members: Vec<InstanceId> = group.seats.values().map(|s| s.id.clone()).collect();
     let taken: BTreeSet<_> = members.iter().cloned().collect();
-    let forming = Forming {
+    let forming = FormingGroup {
         epoch: group.epoch,
         service: group.service.clone(),
         domain: group.domain.clone(),
@@ -113,7 +113,7 @@
 /// Continues to end a group whose head another planner has ordered to close.
 fn adopt_ending(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
     let others = group.seats.values().skip(1);
-    let ending = Ending {
+    let ending = EndingGroup {
         epoch: group.epoch,
         head: group.head().map(|h| h.id.clone()),
         others: others.map(|s| s.id.clone()).collect(),
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::{cover, form, survey};
-use crate::logic::direct::{endpoints, peers, DirectEffect, DirectState, LookResult, Sight};
+use super::{form, readiness, survey};
+use crate::logic::direct::{endpoints, peers, DirectEffect, DirectState, Observation, ProbeResult};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
 
@@ -26,7 +26,7 @@
 
 /// Probes of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Look {
+pub struct ProbeState {
     /// Whether a probe awaits its answer.
     pub pending: bool,
     /// Consecutive probes without an answer.
@@ -38,15 +38,15 @@
     /// When other routers were last asked; 0 before that.
     pub asked_at: Millis,
     /// This router's own observation, by its last probe.
-    pub own: Option<Sight>,
+    pub own: Option<Observation>,
     /// Observations of other routers since they were last asked.
-    pub others: Vec<Sight>,
+    pub others: Vec<Observation>,
 }
 
-impl Look {
+impl ProbeState {
     /// Whether any router finds the endpoint alive.
     fn is_alive(&self) -> bool {
-        self.observations().any(|s| s == Sight::Alive)
+        self.observations().any(|s| s == Observation::Alive)
     }
 
     /// Whether the observations show that the endpoint has stopped. Refused connections
@@ -54,10 +54,10 @@
     /// work.
     fn is_stopped(&self) -> bool {
         let any = |observation| self.observations().any(|s| s == observation);
-        !any(Sight::Alive) && (!any(Sight::Refuses) || any(Sight::Gone))
+        !any(Observation::Alive) && (!any(Observation::Refuses) || any(Observation::Gone))
     }
 
-    fn observations(&self) -> impl Iterator<Item = Sight> + '_ {
+    fn observations(&self) -> impl Iterator<Item = Observation> + '_ {
         self.own.iter().chain(&self.others).copied()
     }
 }
@@ -134,7 +134,7 @@
     state: &mut DirectState,
     now: Millis,
     id: &InstanceId,
-    result: LookResult,
+    result: ProbeResult,
     out: &mut Vec<Effect>,
 ) {
     if !state.plan.duty.holds(now) {
@@ -147,10 +147,10 @@
     probe.pending = false;
     probe.own = Some(observation);
     match result {
-        LookResult::Alive { seat, .. } => {
-            *probe = Look {
+        ProbeResult::Alive { seat, .. } => {
+            *probe = ProbeState {
                 since: probe.since,
-                ..Look::default()
+                ..ProbeState::default()
             };
             if state.plan.lost.remove(id).is_some() {
                 out.push(Effect::Log(
@@ -164,13 +164,13 @@
             }
             clear_silence(state, now, id);
         }
-        LookResult::Refused | LookResult::Replaced => {
+        ProbeResult::Refused | ProbeResult::Replaced => {
             ask_routers(state, now, id, out);
             mark_lost(state, now, id, "refused", out);
         }
         // Data that the endpoint has sent since the probe counts as an answer.
-        LookResult::Silent if observation == Sight::Alive => probe.misses = 0,
-        LookResult::Silent => {
+        ProbeResult::Silent if observation == Observation::Alive => probe.misses = 0,
+        ProbeResult::Silent => {
             probe.misses += 1;
             let is_lost = probe.misses >= MAX_MISSES;
             ask_routers(state, now, id, out);
@@ -204,7 +204,7 @@
 pub(in crate::logic::direct) fn on_observation(
     state: &mut DirectState,
     number: u64,
-    observation: Sight,
+    observation: Observation,
 ) {
     for probe in state.plan.looks.values_mut() {
         if let Some(at) = probe.asked.iter().position(|n| *n == number) {
@@ -224,7 +224,7 @@
 
 /// Whether any router finds an endpoint alive.
 pub(super) fn is_found_alive(state: &DirectState, id: &InstanceId) -> bool {
-    state.plan.looks.get(id).is_some_and(Look::is_alive)
+    state.plan.looks.get(id).is_some_and(ProbeState::is_alive)
 }
 
 fn mark_lost(
@@ -240,7 +240,7 @@
     view.silent.get_or_insert(now);
     let beat_age = now.saturating_sub(view.beat_at);
     if state.plan.lost.insert(id.clone(), now).is_none() {
-        cover::on_endpoint_lost(state, now);
+        readiness::on_endpoint_lost(state, now);
         let event = LogEvent::new(LogCode::EndpointLost)
             .with("endpoint", id)
             .with("why", why)
--- a/src/logic/direct/plan/place.rs
+++ b/src/logic/direct/plan/place.rs
@@ -23,7 +23,7 @@
 
 /// Size and share of a model for the placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlaceModel {
+pub struct PlacementModel {
     /// Instances of one group.
     pub size: usize,
     /// Part of all instances that it should get, in thousandths.
@@ -32,11 +32,11 @@
 
 /// Input of the placement.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PlaceInput {
+pub struct PlacementInput {
     /// Number of instances of each domain.
     pub domains: Vec<usize>,
     /// The models to place.
-    pub models: Vec<PlaceModel>,
+    pub models: Vec<PlacementModel>,
 }
 
 /// The number of groups of each model that each domain should have, by domain and model.
@@ -45,7 +45,7 @@
 /// the loss of any one of them, with that of spares for repairs and of domains with several
 /// models, whose groups can be traded. Raises it one domain at a time, until no single domain
 /// can be improved or `MAX_ROUNDS` is reached.
-pub fn place(input: &PlaceInput) -> Vec<Vec<usize>> {
+pub fn place(input: &PlacementInput) -> Vec<Vec<usize>> {
     let sizes: Vec<usize> = input.models.iter().map(|m| m.size).collect();
     let mut mixes_by_size: BTreeMap<usize, Vec<Vec<usize>>> = BTreeMap::new();
     for n in &input.domains {
@@ -75,7 +75,7 @@
 }
 
 /// Worth of a placement, for comparison with others.
-fn worth(input: &PlaceInput, chosen: &[Vec<usize>]) -> f64 {
+fn worth(input: &PlacementInput, chosen: &[Vec<usize>]) -> f64 {
     let full = capacity(input, chosen, None);
     let after_loss: f64 = (0..chosen.len())
         .map(|d| capacity(input, chosen, Some(d)))
@@ -90,7 +90,7 @@
 }
 
 /// Worth of the capacity of all models, without the groups of one domain if given.
-fn capacity(input: &PlaceInput, chosen: &[Vec<usize>], without: Option<usize>) -> f64 {
+fn capacity(input: &PlacementInput, chosen: &[Vec<usize>], without: Option<usize>) -> f64 {
     let all: usize = input.domains.iter().sum();
     let mut sum = 0.0;
     for (m, model) in input.models.iter().enumerate() {
@@ -108,7 +108,7 @@
 }
 
 /// Worth of a domain's spares, and of its models beyond the first.
-fn domain_worth(input: &PlaceInput, mix: &[usize], n: usize) -> f64 {
+fn domain_worth(input: &PlacementInput, mix: &[usize], n: usize) -> f64 {
     let used: usize = mix.iter().zip(&input.models).map(|(c, m)| c * m.size).sum();
     let models = mix.iter().filter(|c| **c > 0).count();
     let spares = n.saturating_sub(used).min(MAX_USEFUL_SPARES) as f64;
--- a/src/logic/direct/plan/plan_state.rs
+++ b/src/logic/direct/plan/plan_state.rs
@@ -2,7 +2,10 @@
 use std::sync::Arc;
 
 use super::survey::Place;
-use super::{Duty, Ending, Forming, Idle, LoadBudget, Look, OrderUse, Staging};
+use super::{
+    EndingGroup, FormingGroup, IdleEndpoint, LoadBudget, OrderUse, PlannerLease, ProbeState,
+    StagedLoad,
+};
 use crate::observe::LabelledCount;
 use crate::types::{GroupSeat, InstanceId, Millis};
 
@@ -10,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlanState {
     /// The planner lease.
-    pub duty: Duty,
+    pub duty: PlannerLease,
     /// Whether this router held the planner lease at the last tick.
     pub held: bool,
     /// When the whole list may be requested again, while it is older than the planner lease.
@@ -18,23 +21,23 @@
     /// When the next planning pass is due.
     pub look_at: Millis,
     /// Groups that are being formed, by name.
-    pub forming: BTreeMap<Arc<str>, Forming>,
+    pub forming: BTreeMap<Arc<str>, FormingGroup>,
     /// Groups that are ending, by name.
-    pub ending: BTreeMap<Arc<str>, Ending>,
+    pub ending: BTreeMap<Arc<str>, EndingGroup>,
     /// Groups that have ended; endpoints that still have a seat in them are free.
     pub ended: BTreeSet<Arc<str>>,
     /// Incomplete groups by name, with the time since when each is known to be incomplete.
     pub partial: BTreeMap<Arc<str>, Millis>,
     /// Endpoints that were ordered to load a model in advance.
-    pub staging: BTreeMap<InstanceId, Staging>,
+    pub staging: BTreeMap<InstanceId, StagedLoad>,
     /// Lost endpoints, with the time of the loss.
     pub lost: BTreeMap<InstanceId, Millis>,
     /// Free endpoints, while this router is the planner.
-    pub idle: BTreeMap<InstanceId, Idle>,
+    pub idle: BTreeMap<InstanceId, IdleEndpoint>,
     /// When the needs of models are logged next.
     pub needs_at: Millis,
     /// Probes of endpoints.
-    pub looks: BTreeMap<InstanceId, Look>,
+    pub looks: BTreeMap<InstanceId, ProbeState>,
     /// Seats, with their model, in groups that this planner has opened, while the list doesn't
     /// show them yet.
     pub seats: BTreeMap<InstanceId, (GroupSeat, Arc<str>)>,
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/planner_lease.rs
@@ -33,7 +33,7 @@
 
 /// State of the planner lease as this router knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Duty {
+pub struct PlannerLease {
     /// Whether the key was read and is watched.
     pub watched: bool,
     /// Instance id in the key, if the key exists.
@@ -59,25 +59,25 @@
     /// When the next store call may be made.
     pub next_at: Millis,
     /// The store call that awaits its reply.
-    pub call: Option<(CallId, DutyCall)>,
+    pub call: Option<(CallId, LeaseCall)>,
 }
 
 /// Purpose of a store call about the planner lease; each time is when the call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum DutyCall {
+pub enum LeaseCall {
     /// Read the key, with all others of the product.
     Read,
     /// Create a lease.
     Grant(Millis),
     /// Write the key under the lease.
-    Take(i64, Millis),
+    Acquire(i64, Millis),
     /// Renew the lease.
     Renew(Millis),
     /// Revoke the lease.
     Revoke,
 }
 
-impl Duty {
+impl PlannerLease {
     /// Whether this router is certain to hold the planner lease at `now`.
     pub fn holds(&self, now: Millis) -> bool {
         self.fence > 0 && now < self.until
@@ -85,11 +85,11 @@
 
     /// Resets the state after the lease was lost or revoked; the key is read again.
     pub fn reset(&mut self) {
-        *self = Duty {
+        *self = PlannerLease {
             next_at: self.next_at,
             free_from: self.free_from,
             call: self.call,
-            ..Duty::default()
+            ..PlannerLease::default()
         };
     }
 }
@@ -106,20 +106,22 @@
     let is_free = duty.watched && (duty.holder.is_none() || is_own_key);
     let (purpose, op) = match (own, duty.lease) {
         (Some(lease), _) if state.stopping.is_some() => {
-            (DutyCall::Revoke, StoreCall::Revoke { lease })
+            (LeaseCall::Revoke, StoreCall::Revoke { lease })
         }
         _ if state.stopping.is_some() => return,
         (Some(lease), _) => {
             state.plan.duty.next_at = now + duty.length / RENEWALS_PER_LEASE;
-            (DutyCall::Renew(now), StoreCall::Renew { lease })
+            (LeaseCall::Renew(now), StoreCall::Renew { lease })
+        }
+        (None, Some(lease)) if is_free => {
+            (LeaseCall::Acquire(lease, now), acquire_call(state, lease))
         }
-        (None, Some(lease)) if is_free => (DutyCall::Take(lease, now), acquire_call(state, lease)),
         // The lease length depends on the number of endpoints, so the list is read first.
         (None, None) if is_free && state.listed && now >= duty.free_from => {
             let ttl_s = (lease_ms(state) / 1_000).max(1);
-            (DutyCall::Grant(now), StoreCall::Grant { ttl_s })
+            (LeaseCall::Grant(now), StoreCall::Grant { ttl_s })
         }
-        _ if !duty.watched => (DutyCall::Read, read_call()),
+        _ if !duty.watched => (LeaseCall::Read, read_call()),
         _ => return,
     };
     let call = state.call(op, out);
@@ -156,9 +158,9 @@
             .with("why", "the store was restored from a backup");
         out.push(Effect::Log(event));
     }
-    state.plan.duty = Duty {
+    state.plan.duty = PlannerLease {
         free_from: now + settling_ms(state),
-        ..Duty::default()
+        ..PlannerLease::default()
     };
 }
 
@@ -205,7 +207,7 @@
         return;
     };
     state.plan.duty.call = None;
-    if let (DutyCall::Read, Ok(StoreReply::Entries { entries, .. })) = (purpose, &result) {
+    if let (LeaseCall::Read, Ok(StoreReply::Entries { entries, .. })) = (purpose, &result) {
         peers::on_keys_read(state, now, entries);
         crashes::on_store_entries(state, now, entries, out);
     }
@@ -213,7 +215,7 @@
     let (era, settling) = (era(state), settling_ms(state));
     let duty = &mut state.plan.duty;
     match (purpose, result) {
-        (DutyCall::Read, Ok(StoreReply::Entries { revision, entries })) => {
+        (LeaseCall::Read, Ok(StoreReply::Entries { revision, entries })) => {
             duty.watched = true;
             let last_era = entries.iter().find(|e| e.key == ERA_KEY);
             if last_era.is_some_and(|e| e.value != era.to_string()) {
@@ -225,12 +227,12 @@
             duty.next_at = now + pause;
             out.push(Effect::Watch { from: revision + 1 });
         }
-        (DutyCall::Grant(at), Ok(StoreReply::Lease { lease, ttl_s })) => {
+        (LeaseCall::Grant(at), Ok(StoreReply::Lease { lease, ttl_s })) => {
             duty.lease = Some(lease);
             duty.length = ttl_s * 1_000;
             duty.granted = at;
         }
-        (DutyCall::Take(lease, _), Ok(StoreReply::Swapped { done, revision, .. })) if done => {
+        (LeaseCall::Acquire(lease, _), Ok(StoreReply::Swapped { done, revision, .. })) if done => {
             duty.lease = Some(lease);
             duty.taken = StorePosition { era, revision };
             duty.fence = duty.taken.fence();
@@ -239,10 +241,10 @@
             let event = LogEvent::new(LogCode::PlannerLeaseTaken).with("fence", duty.fence);
             out.push(Effect::Log(event));
         }
-        (DutyCall::Renew(at), Ok(StoreReply::Lease { ttl_s, .. })) if ttl_s > 0 => {
+        (LeaseCall::Renew(at), Ok(StoreReply::Lease { ttl_s, .. })) if ttl_s > 0 => {
             duty.until = at + duty.length;
         }
-        (DutyCall::Renew(_), Ok(_)) | (DutyCall::Revoke, _) => {
+        (LeaseCall::Renew(_), Ok(_)) | (LeaseCall::Revoke, _) => {
             duty.reset();
             out.push(Effect::Log(
                 LogEvent::new(LogCode::PlannerLeaseLost)
@@ -250,7 +252,7 @@
             ));
         }
         // The lease may have expired, or another router has written the key first.
-        (DutyCall::Take(..), _) => {
+        (LeaseCall::Acquire(..), _) => {
             duty.reset();
             duty.next_at = now + RETRY_PAUSE_MS;
         }
--- a/src/logic/direct/plan/tend.rs
+++ b/src/logic/direct/plan/planning_pass.rs
@@ -1,7 +1,8 @@
 //! The periodic planning pass over all groups and free endpoints.
 
 use super::{
-    duty, fill, fleet_view, form, idle, inspect, look, retire, stage, survey, value, LoadBudget,
+    fill, fleet_view, form, idle, inspect, look, planner_lease, retire, stage, survey, value,
+    LoadBudget,
 };
 use crate::logic::direct::{DirectEffect, DirectState};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -19,7 +20,7 @@
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
-    duty::on_tick(state, now, out);
+    planner_lease::on_tick(state, now, out);
     let holds = state.plan.duty.holds(now) && state.stopping.is_none();
     if holds != state.plan.held {
         state.plan.held = holds;
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use super::{cover, form, look, order, Ending, EndingStep, Forming, GroupView, OrderUse};
+use super::{
+    form, look, order, readiness, EndingGroup, EndingStep, FormingGroup, GroupView, OrderUse,
+};
 use crate::logic::direct::{DirectState, EndpointView, GroupStep};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{GroupSeat, InstanceId, Millis, SeatState};
@@ -28,7 +30,7 @@
 ) {
     let head = view.head().map(|s| s.id.clone());
     let others = view.seats.values().skip(usize::from(head.is_some()));
-    let ending = Ending {
+    let ending = EndingGroup {
         epoch: view.epoch,
         others: others.map(|s| s.id.clone()).collect(),
         head: head.or_else(|| lost_head(state, group)),
@@ -68,7 +70,7 @@
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
-    mut ending: Ending,
+    mut ending: EndingGroup,
     out: &mut Vec<Effect>,
 ) {
     let is_lost = ending
@@ -93,7 +95,12 @@
 }
 
 /// Sends the orders of the current step.
-fn send_orders(state: &mut DirectState, group: &Arc<str>, ending: &Ending, out: &mut Vec<Effect>) {
+fn send_orders(
+    state: &mut DirectState,
+    group: &Arc<str>,
+    ending: &EndingGroup,
+    out: &mut Vec<Effect>,
+) {
     let epoch = ending.epoch;
     let leave = |group: &Arc<str>| GroupStep::Leave {
         group: group.clone(),
@@ -146,9 +153,9 @@
     }
     plan.look_at = now;
     if !was_lost {
-        cover::on_endpoint_lost(state, now);
+        readiness::on_endpoint_lost(state, now);
     }
-    let is_member = |(_, f): &(&Arc<str>, &Forming)| f.members.contains(id);
+    let is_member = |(_, f): &(&Arc<str>, &FormingGroup)| f.members.contains(id);
     let forming = state.plan.forming.iter().find(is_member);
     if let Some(group) = forming.map(|(group, _)| group.clone()) {
         if let Some(forming) = state.plan.forming.remove(&group) {
@@ -157,7 +164,7 @@
     }
     // The head's earlier process has stopped, so its group has ended whichever members are left.
     let headed = seat.filter(|s| s.rank == 0).map(|s| s.group.clone());
-    let is_head = |(_, e): &(&Arc<str>, &Ending)| e.head.as_ref() == Some(id);
+    let is_head = |(_, e): &(&Arc<str>, &EndingGroup)| e.head.as_ref() == Some(id);
     let ending = state.plan.ending.iter().find(is_head);
     for group in headed
         .into_iter()
@@ -194,7 +201,7 @@
     state: &mut DirectState,
     now: Millis,
     group: &Arc<str>,
-    ending: &mut Ending,
+    ending: &mut EndingGroup,
     out: &mut Vec<Effect>,
 ) -> bool {
     if ending.head.is_none() {
@@ -221,7 +228,12 @@
 }
 
 /// The step that the group is in now.
-fn next_step(state: &DirectState, now: Millis, group: &Arc<str>, ending: &Ending) -> EndingStep {
+fn next_step(
+    state: &DirectState,
+    now: Millis,
+    group: &Arc<str>,
+    ending: &EndingGroup,
+) -> EndingStep {
     let head = ending.head.as_ref();
     let is_lost =
         head.is_none_or(|id| state.plan.lost.contains_key(id) || !state.endpoints.contains_key(id));
@@ -256,7 +268,12 @@
 }
 
 /// Whether the head is certain to have stopped.
-fn is_head_stopped(state: &DirectState, now: Millis, group: &Arc<str>, ending: &Ending) -> bool {
+fn is_head_stopped(
+    state: &DirectState,
+    now: Millis,
+    group: &Arc<str>,
+    ending: &EndingGroup,
+) -> bool {
     let seat = ending
         .head
         .as_ref()
@@ -289,7 +306,7 @@
 pub(in crate::logic::direct) fn is_in_retired_group(state: &DirectState, id: &InstanceId) -> bool {
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
     seat.is_some_and(|s| {
-        let is_not_closing = |e: &Ending| e.step != EndingStep::Closing;
+        let is_not_closing = |e: &EndingGroup| e.step != EndingStep::Closing;
         state.plan.ended.contains(&s.group)
             || state.plan.ending.get(&s.group).is_some_and(is_not_closing)
     })
--- a/src/logic/direct/plan/stage.rs
+++ b/src/logic/direct/plan/stage.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::cover::{self, ServiceReadiness};
+use super::readiness::{self, ServiceReadiness};
 use super::survey::{self, Place};
-use super::{fill, form, order, value, OrderUse, Staging};
+use super::{fill, form, order, value, OrderUse, StagedLoad};
 use crate::logic::direct::{DirectState, EndpointView, GroupStep, Mechanism};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EngineSpec, InstanceId, Millis};
@@ -103,7 +103,7 @@
         let ready_by_share = |m: &usize| {
             let ready = free
                 .iter()
-                .filter(|id| cover::is_ready_or_loading(state, id, &models[*m].name));
+                .filter(|id| readiness::is_ready_or_loading(state, id, &models[*m].name));
             ready.count() as u64 * 1_000_000 / models[*m].share.max(1)
         };
         return (0..models.len()).min_by_key(ready_by_share);
@@ -248,7 +248,7 @@
         .with("model", model);
     out.push(Effect::Log(event));
     let hold = matches!(step, GroupStep::Join { .. });
-    let staging = Staging {
+    let staging = StagedLoad {
         model: model.clone(),
         since: now,
         hold,
--- a/src/logic/direct/plan/staging.rs
+++ b/src/logic/direct/plan/staging.rs
@@ -4,7 +4,7 @@
 
 /// A model that an endpoint was ordered to load in advance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Staging {
+pub struct StagedLoad {
     /// The model.
     pub model: Arc<str>,
     /// When the order was given.
--- a/src/logic/direct/plan/survey.rs
+++ b/src/logic/direct/plan/survey.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{GroupView, Seat};
+use super::{GroupMember, GroupView};
 use crate::logic::direct::{DirectState, EndpointView};
 use crate::types::InstanceId;
 
@@ -36,7 +36,7 @@
                 seats: BTreeMap::new(),
             });
         group.model = group.model.take().or_else(|| view.entry.model.clone());
-        let member = Seat {
+        let member = GroupMember {
             id: id.clone(),
             state: seat.state,
             leaving: view.entry.leaving,
@@ -84,7 +84,7 @@
     id: &InstanceId,
     view: &EndpointView,
 ) -> Option<Arc<str>> {
-    let is_member = |f: &&super::Forming| f.members.contains(id);
+    let is_member = |f: &&super::FormingGroup| f.members.contains(id);
     if let Some(forming) = state.plan.forming.values().find(is_member) {
         return Some(forming.model.clone());
     }
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::cover;
 use super::model_load::ModelLoad;
+use super::readiness;
 use crate::logic::direct::{demand, DirectState, Mechanism, ModelDemand};
 use crate::types::{EngineModel, EngineSpec, InstanceId, Millis};
 
@@ -111,7 +111,7 @@
         return needs_by_share(state, engine);
     }
     let shares: u64 = engine.models.iter().map(|m| m.share).sum();
-    let loss_rate = cover::loss_rate(state, now) / state.plan.most.max(1) as f64;
+    let loss_rate = readiness::loss_rate(state, now) / state.plan.most.max(1) as f64;
     let need = |m: &EngineModel| {
         let share = m.share as f64 / shares.max(1) as f64;
         let Some(demand) = demand.get(&m.name) else {
--- a/src/logic/direct/look_result.rs
+++ b/src/logic/direct/probe_result.rs
@@ -2,7 +2,7 @@
 
 /// Result of a probe: an endpoint's answer to a question for its report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum LookResult {
+pub enum ProbeResult {
     /// It answers.
     Alive {
         /// When it last started, in Unix milliseconds; absent if it doesn't tell.
--- a/src/logic/direct/queue.rs
+++ b/src/logic/direct/queue.rs
@@ -6,7 +6,9 @@
 //! with it than are sent within that time, and that waiting has recently led to answers.
 //! Requests that can still begin within their objective go first.
 
-use super::{accept, choose, end, send, DirectRequest, DirectState, Flight, LineKey, Turn};
+use super::{
+    accept, choose, finish, send, DirectRequest, DirectState, InFlightRequest, Precedence, QueueKey,
+};
 use crate::logic::Effect;
 use crate::types::Millis;
 
@@ -39,7 +41,7 @@
     remove(state, id);
     if let Some(flight) = state.flights.get(&id) {
         let late = flight.is_late(now);
-        let queue = state.lines.entry(LineKey::of(flight)).or_default();
+        let queue = state.lines.entry(QueueKey::of(flight)).or_default();
         queue.on_sent(now, late);
     }
 }
@@ -54,22 +56,22 @@
     let Some(flight) = state.flights.get(&id).cloned() else {
         return;
     };
-    let key = LineKey::of(&flight);
+    let key = QueueKey::of(&flight);
     let queue = state.lines.entry(key.clone()).or_default();
     if now >= wait_end(&flight, id, queue.is_effective(now)) {
         if flight.is_late(now) {
             queue.on_refused(now);
         }
-        return end::give_up(state, now, id, "no endpoint had room in time", out);
+        return finish::give_up(state, now, id, "no endpoint had room in time", out);
     }
     let wait = flight.wait_until.saturating_sub(flight.arrived);
     let fits = (queue.waiting.len() as u64) < queue.max_waiting(now, wait);
     let active = queue.has_sent(now) || flight.head_sent;
     if !active && !choose::has_candidate(state, &flight) {
-        return end::give_up(state, now, id, "no endpoint can serve it", out);
+        return finish::give_up(state, now, id, "no endpoint can serve it", out);
     }
     let place = (flight.turn, flight.priority, id);
-    if fits || flight.turn == Turn::Resumed {
+    if fits || flight.turn == Precedence::Resumed {
         insert(state, &key, place);
         return;
     }
@@ -78,16 +80,16 @@
         Some(old) if !flight.is_late(now) => {
             insert(state, &key, place);
             remove(state, old);
-            end::give_up(state, now, old, "the wait queue is full", out);
+            finish::give_up(state, now, old, "the wait queue is full", out);
         }
-        _ => end::give_up(state, now, id, "the wait queue is full", out),
+        _ => finish::give_up(state, now, id, "the wait queue is full", out),
     }
 }
 
 /// Time at which a request's wait ends; `effective` says whether waiting has recently led
 /// to answers. A request that was sent before has already lost time, and waits for the
 /// full time.
-fn wait_end(flight: &Flight, id: u64, effective: bool) -> Millis {
+fn wait_end(flight: &InFlightRequest, id: u64, effective: bool) -> Millis {
     let full =
         effective || flight.head_sent || !flight.tried.is_empty() || id % FULL_WAIT_ONE_IN == 0;
     if full {
@@ -98,14 +100,14 @@
     }
 }
 
-fn insert(state: &mut DirectState, key: &LineKey, place: (Turn, u8, u64)) {
+fn insert(state: &mut DirectState, key: &QueueKey, place: (Precedence, u8, u64)) {
     if let Some(queue) = state.lines.get_mut(key) {
         queue.waiting.insert(place);
     }
 }
 
 /// The oldest of the late requests in a queue.
-fn oldest_late(state: &DirectState, now: Millis, key: &LineKey) -> Option<u64> {
+fn oldest_late(state: &DirectState, now: Millis, key: &QueueKey) -> Option<u64> {
     let queue = state.lines.get(key)?;
     let late = |id: &u64| state.flights.get(id).is_some_and(|f| f.is_late(now));
     queue.waiting.iter().map(|(.., id)| *id).filter(late).min()
@@ -117,7 +119,7 @@
         return;
     };
     let place = (flight.turn, flight.priority, id);
-    if let Some(queue) = state.lines.get_mut(&LineKey::of(flight)) {
+    if let Some(queue) = state.lines.get_mut(&QueueKey::of(flight)) {
         queue.waiting.remove(&place);
     }
 }
@@ -125,7 +127,7 @@
 /// Sends waiting requests as far as endpoints have room.
 pub(super) fn send_waiting(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let waiting = state.lines.iter().filter(|(_, l)| !l.waiting.is_empty());
-    let keys: Vec<LineKey> = waiting.map(|(key, _)| key.clone()).collect();
+    let keys: Vec<QueueKey> = waiting.map(|(key, _)| key.clone()).collect();
     for key in keys {
         for id in send_order(state, now, &key) {
             let sent = send::try_send(state, now, id, out);
@@ -133,7 +135,7 @@
             let resumed = state
                 .flights
                 .get(&id)
-                .is_some_and(|f| f.turn == Turn::Resumed);
+                .is_some_and(|f| f.turn == Precedence::Resumed);
             if !sent && !resumed {
                 break;
             }
@@ -143,7 +145,7 @@
 
 /// Requests of one queue in the order in which they are sent: by turn, the late ones last,
 /// then by priority and arrival.
-fn send_order(state: &DirectState, now: Millis, key: &LineKey) -> Vec<u64> {
+fn send_order(state: &DirectState, now: Millis, key: &QueueKey) -> Vec<u64> {
     let Some(queue) = state.lines.get(key) else {
         return Vec::new();
     };
@@ -185,7 +187,7 @@
     let Some(flight) = state.flights.get(&id) else {
         return false;
     };
-    let queue = state.lines.get_mut(&LineKey::of(flight));
+    let queue = state.lines.get_mut(&QueueKey::of(flight));
     let effective = queue.is_none_or(|q| q.is_effective(now));
     now >= wait_end(flight, id, effective)
 }
--- a/src/logic/direct/line_key.rs
+++ b/src/logic/direct/queue_key.rs
@@ -1,10 +1,10 @@
 use std::sync::Arc;
 
-use super::Flight;
+use super::InFlightRequest;
 
 /// What the requests of one wait queue have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LineKey {
+pub struct QueueKey {
     /// Service that they go to.
     pub service: Arc<str>,
     /// Model that they ask for.
@@ -13,9 +13,9 @@
     pub route: Arc<str>,
 }
 
-impl LineKey {
+impl QueueKey {
     /// Key of the queue that a request waits in.
-    pub(super) fn of(flight: &Flight) -> Self {
+    pub(super) fn of(flight: &InFlightRequest) -> Self {
         Self {
             service: flight.service.clone(),
             model: flight.model.clone(),
--- a/src/logic/direct/retry_terms.rs
+++ b/src/logic/direct/retry_terms.rs
@@ -1,9 +1,9 @@
-use super::DirectKnobs;
+use super::DirectParams;
 use crate::types::Millis;
 
 /// Retry budget: the bounds of a router's retries at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct RetryTerms {
+pub struct RetryBounds {
     /// Window in which retries are counted, in milliseconds.
     pub window: Millis,
     /// Retries per thousand requests.
@@ -14,9 +14,9 @@
     pub routers: u64,
 }
 
-impl RetryTerms {
+impl RetryBounds {
     /// Budget by the router's parameters, shared by `routers`.
-    pub fn new(params: &DirectKnobs, routers: u64) -> Self {
+    pub fn new(params: &DirectParams, routers: u64) -> Self {
         Self {
             window: params.retry_window,
             ratio: params.retry_ratio,
--- a/src/logic/direct/retry_window.rs
+++ b/src/logic/direct/retry_window.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-use super::RetryTerms;
+use super::RetryBounds;
 use crate::types::Millis;
 
 /// Slots of a window.
@@ -34,7 +34,7 @@
     }
 
     /// Counts a retry if the budget allows it; false if it doesn't.
-    pub fn retry(&mut self, now: Millis, terms: &RetryTerms) -> bool {
+    pub fn retry(&mut self, now: Millis, terms: &RetryBounds) -> bool {
         self.slot(now, terms.window);
         let (requests, retries) = self.counts();
         let part = terms.extra / terms.routers.max(MIN_ROUTERS);
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -1,8 +1,8 @@
 //! Sends a request to an endpoint, and retries it at another one after a failure.
 
 use super::{
-    choose, crashes, end, peers, queue, rates, DirectEffect, DirectState, Flight, Mechanism,
-    RetryTerms, RetryWindow, Run, RunRequest, Turn,
+    choose, crashes, finish, peers, queue, rate_limit, DirectEffect, DirectState, InFlightRequest,
+    Mechanism, Precedence, RetryBounds, RetryWindow, Run, RunRequest,
 };
 use crate::logic::router::Metric;
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -12,7 +12,7 @@
 const MAX_PRIORITY: u8 = 9;
 
 /// Priority at the endpoint: that of the request, plus one unless its stream is resumed.
-fn endpoint_priority(flight: &Flight) -> u8 {
+fn endpoint_priority(flight: &InFlightRequest) -> u8 {
     (flight.priority + flight.turn as u8).min(MAX_PRIORITY)
 }
 
@@ -26,7 +26,7 @@
         return;
     };
     if now >= flight.deadline {
-        return end::time_out(state, now, id, out);
+        return finish::time_out(state, now, id, out);
     }
     if !try_send(state, now, id, out) {
         queue::wait_or_give_up(state, now, id, out);
@@ -55,7 +55,7 @@
     if view.running == 0 {
         view.heard = view.heard.max(now);
     }
-    rates::on_sent(view, now);
+    rate_limit::on_sent(view, now);
     view.running += 1;
     view.unread += u64::from(flight.prompt);
     let (addr, epoch) = (view.entry.addr, view.epoch());
@@ -121,10 +121,10 @@
     let below_max_sends = flight.tried.len() as u32 <= flight.route.attempts + 1;
     let (service, fingerprint) = (flight.service.clone(), flight.fingerprint);
     if may_have_run && crashes::is_risky(state, &fingerprint) {
-        return end::give_up(state, now, id, "endpoints crashed while running it", out);
+        return finish::give_up(state, now, id, "endpoints crashed while running it", out);
     }
     if !allowed || !below_max_sends || !spend_retry(state, now, &service) {
-        return end::give_up(state, now, id, why, out);
+        return finish::give_up(state, now, id, why, out);
     }
     let waits = state.knobs.on(Mechanism::ResumeWait);
     let window = state.retries.get(&service);
@@ -132,7 +132,7 @@
     let age = state.age(now);
     if let Some(flight) = state.flights.get_mut(&id) {
         if flight.head_sent {
-            flight.turn = Turn::Resumed;
+            flight.turn = Precedence::Resumed;
         }
         if flight.head_sent && waits {
             flight.wait_until = flight.wait_until.max(now + RESUME_WAIT_MS);
@@ -146,7 +146,7 @@
             .with("requests", requests)
             .with("age", age);
         out.push(Effect::Log(event));
-        end::record_metric(flight, Metric::Retry, 1, out);
+        finish::record_metric(flight, Metric::Retry, 1, out);
     }
     send_or_wait(state, now, id, out);
 }
@@ -154,7 +154,7 @@
 /// Spends a retry of the service's budget; false if the budget has none left.
 fn spend_retry(state: &mut DirectState, now: Millis, service: &std::sync::Arc<str>) -> bool {
     peers::record_routers(state, now);
-    let terms = RetryTerms::new(&state.knobs, state.routers.highest());
+    let terms = RetryBounds::new(&state.knobs, state.routers.highest());
     let window = state.retries.entry(service.clone()).or_default();
     let enabled = state.retries_from.is_some_and(|from| now >= from);
     let paid = enabled && window.retry(now, &terms);
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -1,6 +1,6 @@
 //! Finds endpoints that send nothing although they have runs, and moves their streams.
 
-use super::{choose, end, peers, plan, send, DirectState, Mechanism};
+use super::{choose, finish, peers, plan, send, DirectState, Mechanism};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis, RouteKind};
 
@@ -83,7 +83,7 @@
 
 /// Moves streams away from heads whose group has ended, though they head another one now.
 fn move_from_ended_groups(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let ended = |f: &super::Flight| {
+    let ended = |f: &super::InFlightRequest| {
         let run = f.run.as_ref()?;
         let view = state.endpoints.get(&run.at)?;
         (run.epoch != view.epoch() && view.heads()).then(|| run.at.clone())
@@ -104,7 +104,7 @@
     out: &mut Vec<Effect>,
 ) {
     let epoch = state.endpoints.get(from).map_or(0, |v| v.epoch());
-    let movable = |f: &super::Flight| {
+    let movable = |f: &super::InFlightRequest| {
         let here = f
             .run
             .as_ref()
@@ -124,7 +124,7 @@
         if flight.and_then(|f| choose::pick(state, now, &f)).is_none() {
             continue;
         }
-        end::cancel(state, id, out);
+        finish::cancel(state, id, out);
         send::retry(state, now, id, true, "the endpoint is silent", out);
     }
 }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -1,6 +1,6 @@
 use super::{
-    accept, answer, crashes, demand, digests, end, endpoints, pause, peers, plan, queue, rates,
-    silence, store, DirectEffect, DirectEvent, DirectState, EndStage,
+    accept, answer, crashes, demand, digests, endpoints, finish, pause, peers, plan, queue,
+    rate_limit, silence, store_restore, DirectEffect, DirectEvent, DirectState, ShutdownStage,
 };
 use crate::logic::{Effect, Event, LogCode, LogEvent};
 use crate::types::{Millis, Routing};
@@ -53,7 +53,7 @@
         DirectEvent::StoreBack => peers::notify_store_back(state, out),
         DirectEvent::RoutingRead => state.digests.routing_at = state.drained_at,
         DirectEvent::RoutingChecked { asked } => pause::on_routing_checked(state, asked),
-        DirectEvent::StoreEra(era) => store::on_store_era(state, now, era, out),
+        DirectEvent::StoreEra(era) => store_restore::on_store_era(state, now, era, out),
         DirectEvent::List { at, entries } => {
             // The entries of an era's first reading are no updates, so that the updates begin
             // after its position.
@@ -76,10 +76,10 @@
             digests::on_list_read(state, now, before, at);
         }
         DirectEvent::Request(request) => accept::on_request(state, now, *request, out),
-        DirectEvent::Gone(id) => end::on_caller_gone(state, id, out),
+        DirectEvent::Gone(id) => finish::on_caller_gone(state, id, out),
         DirectEvent::Part { run, part } => answer::on_run_part(state, now, run, part, out),
         DirectEvent::Rated { id, run, rate } => {
-            rates::on_answer_rate(state, now, &id, run, rate, out)
+            rate_limit::on_answer_rate(state, now, &id, run, rate, out)
         }
         DirectEvent::Looked { id, result } => {
             peers::on_probe_result(state, now, &id, &result, out);
@@ -133,11 +133,11 @@
     state.drained_at = state.ticked_at;
     state.ticked_at = now;
     pause::on_tick(state, now, out);
-    end::on_tick(state, now, out);
+    finish::on_tick(state, now, out);
     queue::on_tick(state, now, out);
     silence::on_tick(state, now, out);
     endpoints::on_tick(state, now);
-    rates::on_tick(state, now, out);
+    rate_limit::on_tick(state, now, out);
     peers::on_tick(state, now, out);
     crashes::on_tick(state, now, out);
     demand::on_tick(state, now, out);
@@ -161,12 +161,12 @@
     let part = state.knobs.grace_ms / 16;
     let answered = state.flights.is_empty() && state.early.is_empty();
     match state.ending {
-        EndStage::Open if now >= since + CLOSE_SIXTEENTHS * part => {
-            state.ending = EndStage::Closed;
+        ShutdownStage::Accepting if now >= since + CLOSE_SIXTEENTHS * part => {
+            state.ending = ShutdownStage::Draining;
             out.push(Effect::Direct(DirectEffect::CloseDoors));
         }
-        EndStage::Closed if answered || now >= since + EXIT_SIXTEENTHS * part => {
-            state.ending = EndStage::Over;
+        ShutdownStage::Draining if answered || now >= since + EXIT_SIXTEENTHS * part => {
+            state.ending = ShutdownStage::Done;
             out.push(Effect::Exit);
         }
         _ => {}
--- a/src/logic/direct/store.rs
+++ b/src/logic/direct/store_restore.rs
@@ -4,7 +4,7 @@
 //! revisions are assigned again, so nothing that was read or held before is valid. The
 //! routing in force stays: operators write theirs again.
 
-use super::{crashes, plan, DirectState, Presence};
+use super::{crashes, plan, DirectState, Registration};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
@@ -18,7 +18,7 @@
         .with("before", before)
         .with("listed_upto", state.listed_at.revision);
     out.push(Effect::Log(event));
-    state.presence = Presence::default();
+    state.presence = Registration::default();
     let digests = &mut state.digests;
     digests.pending.clear();
     digests.recent.clear();
--- a/src/logic/direct/turn.rs
+++ b/src/logic/direct/turn.rs
@@ -1,6 +1,6 @@
 /// Precedence of a request where not all have room; the first variant goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Turn {
+pub enum Precedence {
     /// Its stream has begun and is to be resumed at another endpoint; otherwise the work
     /// spent on it is lost.
     Resumed,
--- a/src/logic/direct/news_batch.rs
+++ b/src/logic/direct/update_batch.rs
@@ -1,9 +1,9 @@
-use super::EntryNews;
+use super::EndpointUpdate;
 use crate::types::{Millis, StorePosition};
 
 /// Endpoint updates that came with one reading of the list or with one digest.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct NewsBatch {
+pub struct UpdateBatch {
     /// When they were read or received.
     pub at: Millis,
     /// Position of the list after which they begin.
@@ -11,12 +11,12 @@
     /// Position of the list up to which they reach.
     pub after: StorePosition,
     /// The updates, in order.
-    pub news: Vec<EntryNews>,
+    pub news: Vec<EndpointUpdate>,
 }
 
-impl NewsBatch {
+impl UpdateBatch {
     /// Upper bound for the encoded size of its updates, in bytes.
     pub(super) fn bytes(&self) -> usize {
-        self.news.iter().map(EntryNews::bytes).sum()
+        self.news.iter().map(EndpointUpdate::bytes).sum()
     }
 }
--- a/src/logic/direct/line.rs
+++ b/src/logic/direct/wait_queue.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeSet, VecDeque};
 
-use super::Turn;
+use super::Precedence;
 use crate::types::Millis;
 
 /// Length of one slot of the counting window.
@@ -35,14 +35,14 @@
 
 /// Wait queue: requests of one service, model and route that wait for an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Line {
-    /// Waiting requests by turn, priority and id; ids follow the order of arrival.
-    pub waiting: BTreeSet<(Turn, u8, u64)>,
+pub struct WaitQueue {
+    /// Waiting requests by precedence, priority and id; ids follow the order of arrival.
+    pub waiting: BTreeSet<(Precedence, u8, u64)>,
     /// Slots of the window, the oldest first.
     counts: VecDeque<Counts>,
 }
 
-impl Line {
+impl WaitQueue {
     /// Counts a request that was sent to an endpoint; `late` if it was late by then.
     pub fn on_sent(&mut self, now: Millis, late: bool) {
         let counts = self.slot(now);
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -6,7 +6,7 @@
 use super::ini_reader::IniReader;
 use super::SettingsError;
 use crate::link::{Watch, WatchPace};
-use crate::logic::direct::{DirectKnobs, Mechanism};
+use crate::logic::direct::{DirectParams, Mechanism};
 use crate::types::FigureGap;
 
 /// Settings of a router that reaches endpoints by direct HTTP links.
@@ -37,7 +37,7 @@
     /// Read calls that the store takes in a second from all routers; 0 where it isn't known.
     pub reads: u64,
     /// Parameters of the router's decisions.
-    pub knobs: DirectKnobs,
+    pub knobs: DirectParams,
     /// Values that the file leaves empty, with the defaults that are used in their place.
     pub gaps: Vec<FigureGap>,
 }
@@ -79,7 +79,7 @@
             list_ms: 150,
             drain_ms: 2_000,
             reads: 0,
-            knobs: DirectKnobs::default(),
+            knobs: DirectParams::default(),
             gaps: Vec::new(),
         }
     }
@@ -153,12 +153,12 @@
     }
 }
 
-fn read_params(ini: &mut IniReader) -> DirectKnobs {
-    let d = DirectKnobs::default();
+fn read_params(ini: &mut IniReader) -> DirectParams {
+    let d = DirectParams::default();
     let ms = "milliseconds";
     let window_ms = ini.scaled_number("retries", "window_s", d.retry_window, 1_000, "seconds");
     let positive_or = |value: u64, default| if value > 0 { value } else { default };
-    DirectKnobs {
+    DirectParams {
         lease_ms: ini.number("planner", "lease_ms", d.lease_ms, 1_000..=60_000, ms),
         plan_ms: ini.number("planner", "plan_ms", d.plan_ms, 1..=10_000, ms),
         silence_ms: ini.number("planner", "silence_ms", d.silence_ms, 20..=60_000, ms),
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -6,7 +6,7 @@
     Crash, CrashRecord, CrashReport, CrashTable, RecentlyServed,
 };
 use runrail::logic::direct::{
-    DirectEffect, DirectEvent, DirectRequest, Fingerprint, LookResult, PeerMessage, Problem,
+    DirectEffect, DirectEvent, DirectRequest, Fingerprint, PeerMessage, ProbeResult, Problem,
     RunPart,
 };
 use runrail::logic::router::{StoreCall, StoreChange, StoreEntry};
@@ -67,7 +67,7 @@
         _ => None,
     });
     for id in probes.collect::<Vec<_>>() {
-        router.looked(&id, LookResult::Refused);
+        router.looked(&id, ProbeResult::Refused);
     }
 }
 
@@ -138,7 +138,7 @@
     router.part(run(&second).run, RunPart::Head);
     assert_eq!(refused(&mut router, fatal(3)), Some(Problem::NotRun(400)));
     router.part(run(&second).run, RunPart::Broken);
-    router.looked(&at, LookResult::Refused);
+    router.looked(&at, ProbeResult::Refused);
     let answer = refused(&mut router, fatal(4));
     assert_eq!(answer, Some(Problem::CrashesEndpoints));
 }
@@ -154,7 +154,7 @@
         router.part(begun.run, RunPart::Head);
         router.part(begun.run, piece(1));
         router.part(begun.run, RunPart::Broken);
-        router.looked(begun.to.as_str(), LookResult::Refused);
+        router.looked(begun.to.as_str(), ProbeResult::Refused);
     }
     assert_eq!(router.state().crashes.table.len(), 0);
 }
@@ -166,7 +166,7 @@
     for id in 0..2 * BLOCKING_CRASHES as u64 {
         let sent = router.ask_for(fatal(id));
         router.part(run(&sent).run, RunPart::Broken);
-        let alive = LookResult::Alive {
+        let alive = ProbeResult::Alive {
             born: None,
             seat: None,
             pace: 1_000,
@@ -186,7 +186,7 @@
     let mut router = Router::new(entries);
     let sent = router.ask_for(fatal(1));
     router.part(run(&sent).run, RunPart::Broken);
-    let alive = LookResult::Alive {
+    let alive = ProbeResult::Alive {
         born: Some(200),
         seat: None,
         pace: 1_000,
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use runrail::logic::direct::{
-    Digest, DirectEffect, DirectEvent, EntryNews, ListPace, ModelDemand, PeerMessage,
+    Digest, DirectEffect, DirectEvent, EndpointUpdate, ListPace, ModelDemand, PeerMessage,
 };
 use runrail::types::{EndpointEntry, InstanceId, SeatState, StorePosition};
 
@@ -21,7 +21,7 @@
 }
 
 /// A digest of the planner with updates after one revision of the list up to another.
-fn digest(number: u64, from: i64, upto: i64, news: Vec<EntryNews>) -> Digest {
+fn digest(number: u64, from: i64, upto: i64, news: Vec<EndpointUpdate>) -> Digest {
     let (from, upto) = (at(from), at(upto));
     let news = news.into_iter().map(|n| (upto, n)).collect();
     Digest {
@@ -37,7 +37,7 @@
 }
 
 /// The head of the group, about to leave.
-fn leaving() -> EntryNews {
+fn leaving() -> EndpointUpdate {
     let (id, mut entry) = open_group("g", [1, 2, 3]).remove(0);
     entry.leaving = true;
     entry.beats = 9;
@@ -45,8 +45,8 @@
 }
 
 /// The update for an entry that has changed.
-fn change_of(id: &InstanceId, entry: &EndpointEntry) -> EntryNews {
-    EntryNews::Changed {
+fn change_of(id: &InstanceId, entry: &EndpointEntry) -> EndpointUpdate {
+    EndpointUpdate::Changed {
         id: id.clone(),
         born: entry.born,
         beats: entry.beats,
@@ -263,7 +263,7 @@
     let (id, _) = plain(1);
     hear(
         &mut router,
-        digest(1, FENCE, FENCE + 1, vec![EntryNews::Gone(id)]),
+        digest(1, FENCE, FENCE + 1, vec![EndpointUpdate::Gone(id)]),
     );
     let effects = router.take();
     assert!(!effects
@@ -277,7 +277,7 @@
     let (id, entry) = engine(1, None);
     hear(
         &mut router,
-        digest(1, FENCE - 2, FENCE, vec![EntryNews::Gone(id.clone())]),
+        digest(1, FENCE - 2, FENCE, vec![EndpointUpdate::Gone(id.clone())]),
     );
     assert!(router.state().endpoints[&id].listed);
     hear(
@@ -286,7 +286,7 @@
             2,
             FENCE,
             FENCE + 1,
-            vec![EntryNews::Listed(id.clone(), entry)],
+            vec![EndpointUpdate::Listed(id.clone(), entry)],
         ),
     );
     assert_eq!(
@@ -304,7 +304,12 @@
     let (id, entry) = open_group("g", [1, 2, 3]).remove(0);
     hear(
         &mut router,
-        digest(1, FENCE, FENCE, vec![EntryNews::Listed(id.clone(), entry)]),
+        digest(
+            1,
+            FENCE,
+            FENCE,
+            vec![EndpointUpdate::Listed(id.clone(), entry)],
+        ),
     );
     assert_eq!(run(&router.ask(1, "/stream/x")).to, id);
 }
@@ -329,8 +334,8 @@
     let (id, entry) = plain(1);
     let mut twice = digest(1, FENCE, FENCE + 2, Vec::new());
     twice.news = vec![
-        (at(FENCE + 1), EntryNews::Listed(id.clone(), entry)),
-        (at(FENCE + 2), EntryNews::Gone(id.clone())),
+        (at(FENCE + 1), EndpointUpdate::Listed(id.clone(), entry)),
+        (at(FENCE + 2), EndpointUpdate::Gone(id.clone())),
     ];
     hear(&mut router, twice.clone());
     twice.number = 2;
@@ -345,7 +350,7 @@
     let (id, _) = engine(1, None);
     hear(
         &mut router,
-        digest(1, FENCE, FENCE + 9, vec![EntryNews::Gone(id.clone())]),
+        digest(1, FENCE, FENCE + 9, vec![EndpointUpdate::Gone(id.clone())]),
     );
     assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
     let (_, entry) = open_group("g", [1, 2, 3]).remove(0);
@@ -366,7 +371,7 @@
             1,
             FENCE,
             FENCE + 1,
-            vec![EntryNews::Listed(id.clone(), entry)],
+            vec![EndpointUpdate::Listed(id.clone(), entry)],
         ),
     );
     assert_eq!(run(&router.ask(1, "/safe/x")).to, id);
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use runrail::logic::direct::{
-    Digest, DirectEffect, DirectEvent, DirectKnobs, DirectRequest, DirectState, Fingerprint,
-    GroupOrder, GroupStep, ListPace, LookResult, OrderResult, PeerMessage, Problem, RunPart,
+    Digest, DirectEffect, DirectEvent, DirectParams, DirectRequest, DirectState, Fingerprint,
+    GroupOrder, GroupStep, ListPace, OrderResult, PeerMessage, ProbeResult, Problem, RunPart,
     RunRequest,
 };
 use runrail::logic::router::{StoreCall, StoreEntry, StoreReply};
@@ -58,7 +58,7 @@
     /// A router without routing and list, which may already retry beyond the ratio.
     pub fn bare() -> Self {
         let me = InstanceId::new("r1");
-        let mut state = DirectState::new(me, "h1", 5, DirectKnobs::default());
+        let mut state = DirectState::new(me, "h1", 5, DirectParams::default());
         state.addr = Some(addr(900));
         state.retries_from = Some(0);
         Self {
@@ -209,7 +209,7 @@
         });
     }
 
-    pub fn looked(&mut self, id: &str, result: LookResult) {
+    pub fn looked(&mut self, id: &str, result: ProbeResult) {
         let id = InstanceId::new(id);
         self.tell(DirectEvent::Looked { id, result });
     }
--- a/tests/direct/idle.rs
+++ b/tests/direct/idle.rs
@@ -1,6 +1,6 @@
 //! Endpoints that serve in no group: logged, counted, and ordered to leave ended groups.
 
-use runrail::logic::direct::{DirectEffect, GroupStep, LookResult, OrderResult};
+use runrail::logic::direct::{DirectEffect, GroupStep, OrderResult, ProbeResult};
 use runrail::logic::{Effect, LogCode};
 
 use crate::fixture::{open_group, order, Router};
@@ -9,8 +9,8 @@
 fn two_survivors() -> Router {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.take();
-    router.looked("e3", LookResult::Silent);
-    router.looked("e3", LookResult::Silent);
+    router.looked("e3", ProbeResult::Silent);
+    router.looked("e3", ProbeResult::Silent);
     router.pass(60);
     let left = router.take().iter().find_map(|e| match order(e) {
         Some((n, _, GroupStep::Leave { .. })) => Some(n),
--- a/tests/direct/placing.rs
+++ b/tests/direct/placing.rs
@@ -1,15 +1,15 @@
 //! The initial placement of groups in domains.
 
-use runrail::logic::direct::plan::{place, PlaceInput, PlaceModel};
+use runrail::logic::direct::plan::{place, PlacementInput, PlacementModel};
 
-fn models() -> Vec<PlaceModel> {
-    let model = |size, share| PlaceModel { size, share };
+fn models() -> Vec<PlacementModel> {
+    let model = |size, share| PlacementModel { size, share };
     vec![model(4, 570), model(3, 430)]
 }
 
 #[test]
 fn no_model_stands_in_one_domain_only_where_there_is_room() {
-    let input = PlaceInput {
+    let input = PlacementInput {
         domains: vec![9, 9, 9],
         models: models(),
     };
@@ -26,7 +26,7 @@
 #[test]
 fn small_and_empty_domains_are_placed_without_harm() {
     for domains in [vec![], vec![0], vec![2, 3], vec![4]] {
-        let input = PlaceInput {
+        let input = PlacementInput {
             domains: domains.clone(),
             models: models(),
         };
@@ -38,8 +38,8 @@
 
 #[test]
 fn large_domains_are_placed_within_bounds() {
-    let model = |size, share| PlaceModel { size, share };
-    let input = PlaceInput {
+    let model = |size, share| PlacementModel { size, share };
+    let input = PlacementInput {
         domains: vec![37; 4],
         models: vec![model(16, 600), model(4, 400)],
     };
@@ -54,7 +54,7 @@
 /// planner of a large fleet from handling anything else for seconds.
 #[test]
 fn a_thousand_domains_are_placed_like_a_few() {
-    let of = |count| PlaceInput {
+    let of = |count| PlacementInput {
         domains: vec![9; count],
         models: models(),
     };
@@ -69,9 +69,9 @@
 }
 
 /// Worth of a placement, computed independently of the code under test.
-fn worth(input: &PlaceInput, placed: &[Vec<usize>]) -> f64 {
+fn worth(input: &PlacementInput, placed: &[Vec<usize>]) -> f64 {
     let capacity = |without: Option<usize>| -> f64 {
-        let of = |(m, model): (usize, &PlaceModel)| {
+        let of = |(m, model): (usize, &PlacementModel)| {
             let there = placed.iter().enumerate();
             let there = there.filter(|(d, _)| Some(*d) != without);
             let groups: usize = there.map(|(_, mix)| mix[m]).sum();
@@ -106,8 +106,8 @@
         second in 1usize..6,
         share in 100u64..900,
     ) {
-        let model = |size, share| PlaceModel { size, share };
-        let input = PlaceInput { domains, models: vec![model(first, share), model(second, 1_000 - share)] };
+        let model = |size, share| PlacementModel { size, share };
+        let input = PlacementInput { domains, models: vec![model(first, share), model(second, 1_000 - share)] };
         let placed = place(&input);
         let reached = worth(&input, &placed);
         for d in 0..placed.len() {
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use runrail::logic::direct::{DirectEffect, DirectEvent, Line, Problem, RunPart};
+use runrail::logic::direct::{DirectEffect, DirectEvent, Problem, RunPart, WaitQueue};
 use runrail::types::InstanceId;
 
 use crate::fixture::{at, open_group, problem, request, routing, run, Router, FENCE};
@@ -166,7 +166,7 @@
 
 #[test]
 fn waiting_is_effective_while_four_late_requests_are_sent_for_each_refused_one() {
-    let mut queue = Line::default();
+    let mut queue = WaitQueue::default();
     assert!(queue.is_effective(0), "nothing is known yet");
     queue.on_refused(100);
     assert!(!queue.is_effective(100));
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use runrail::logic::direct::{
-    DirectEffect, DirectEvent, GroupStep, LookResult, OrderResult, PeerMessage, RunPart, Sight,
+    DirectEffect, DirectEvent, GroupStep, Observation, OrderResult, PeerMessage, ProbeResult,
+    RunPart,
 };
 use runrail::types::{EndpointEntry, InstanceId, Routing, SeatState};
 
@@ -20,12 +21,12 @@
 
 /// Makes the planner find an endpoint lost.
 fn lose(router: &mut Router, id: &str) {
-    router.looked(id, LookResult::Silent);
-    router.looked(id, LookResult::Silent);
+    router.looked(id, ProbeResult::Silent);
+    router.looked(id, ProbeResult::Silent);
 }
 
-fn alive() -> LookResult {
-    LookResult::Alive {
+fn alive() -> ProbeResult {
+    ProbeResult::Alive {
         born: None,
         seat: None,
         pace: 1_000,
@@ -98,7 +99,7 @@
 }
 
 /// Another router reports its observation.
-fn report(router: &mut Router, number: u64, sight: Sight) {
+fn report(router: &mut Router, number: u64, sight: Observation) {
     let message = PeerMessage::Seen { number, sight };
     let from = addr(801);
     router.tell(DirectEvent::Peer { from, message });
@@ -109,17 +110,17 @@
 #[test]
 fn a_head_that_every_router_finds_refusing_may_still_finish_its_streams() {
     for (last, over) in [
-        (Sight::Refuses, false),
-        (Sight::Alive, false),
-        (Sight::Gone, true),
+        (Observation::Refuses, false),
+        (Observation::Alive, false),
+        (Observation::Gone, true),
     ] {
         let mut router = Router::planner(fleet());
         add_peers(&mut router);
         router.take();
-        router.looked("e1", LookResult::Refused);
+        router.looked("e1", ProbeResult::Refused);
         let question_numbers = question_numbers(&mut router);
         for (n, number) in question_numbers.into_iter().enumerate() {
-            let sight = if n == 3 { last } else { Sight::Refuses };
+            let sight = if n == 3 { last } else { Observation::Refuses };
             report(&mut router, number, sight);
         }
         router.pass(300);
@@ -132,9 +133,9 @@
     let mut router = Router::planner(fleet());
     add_peers(&mut router);
     router.take();
-    router.looked("e1", LookResult::Refused);
+    router.looked("e1", ProbeResult::Refused);
     for number in question_numbers(&mut router) {
-        report(&mut router, number, Sight::Alive);
+        report(&mut router, number, Observation::Alive);
     }
     router.pass(2_500);
     assert!(
@@ -150,9 +151,9 @@
 #[test]
 fn a_router_distinguishes_an_endpoint_that_stops_listening_from_one_that_died() {
     for (end, expected) in [
-        (None, Sight::Alive),
-        (Some(RunPart::End), Sight::Refuses),
-        (Some(RunPart::Broken), Sight::Gone),
+        (None, Observation::Alive),
+        (Some(RunPart::End), Observation::Refuses),
+        (Some(RunPart::Broken), Observation::Gone),
     ] {
         let mut router = Router::new(fleet());
         let sent = run(&router.ask(1, "/stream/x"));
@@ -167,7 +168,7 @@
         };
         let from = addr(802);
         router.tell(DirectEvent::Peer { from, message });
-        router.looked(sent.to.as_str(), LookResult::Refused);
+        router.looked(sent.to.as_str(), ProbeResult::Refused);
         let is_reported = |e: &DirectEffect| matches!(e, DirectEffect::Tell { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
         let effects = router.take();
         assert!(effects.iter().any(is_reported), "{expected:?}: {effects:?}");
@@ -187,9 +188,9 @@
         for (n, number) in question_numbers.into_iter().enumerate() {
             // One router that finds it alive is enough to keep it.
             let sight = if !agree && n == 3 {
-                Sight::Alive
+                Observation::Alive
             } else {
-                Sight::Silent
+                Observation::Silent
             };
             report(&mut router, number, sight);
         }
@@ -329,10 +330,10 @@
     let effects = router.take();
     let is_probe = |e: &DirectEffect| matches!(e, DirectEffect::Look { .. });
     assert!(effects.iter().any(is_probe), "{effects:?}");
-    router.looked("e1", LookResult::Silent);
+    router.looked("e1", ProbeResult::Silent);
     let message = PeerMessage::Seen {
         number: 77,
-        sight: Sight::Silent,
+        sight: Observation::Silent,
     };
     let reply = DirectEffect::Tell { to: from, message };
     assert!(router.take().contains(&reply));
@@ -354,7 +355,7 @@
     // The list shows the third member as it was before it joined.
     router.change("e3", Some(engine(3, None).1));
     let reported = seat("g", 2, SeatState::Ready);
-    let reported = LookResult::Alive {
+    let reported = ProbeResult::Alive {
         born: None,
         seat: reported,
         pace: 1_000,
--- a/tests/direct/lives.rs
+++ b/tests/direct/restarts.rs
@@ -1,6 +1,6 @@
 //! Endpoints that restart under their ids, and entries older than what is known.
 
-use runrail::logic::direct::{Digest, DirectEffect, EntryNews, GroupStep, LookResult};
+use runrail::logic::direct::{Digest, DirectEffect, EndpointUpdate, GroupStep, ProbeResult};
 use runrail::types::{EndpointEntry, InstanceId};
 
 use crate::fixture::{at, empty_digest, engine, hear, open_group, order, plain, Router, FENCE};
@@ -42,7 +42,10 @@
 fn an_update_after_a_restart_is_applied_though_its_heartbeat_count_is_lower() {
     let mut router = Router::named("r1", &["r0", "r1"].map(InstanceId::new), fleet(0));
     let id = InstanceId::new("e1");
-    let news = vec![(at(FENCE + 1), EntryNews::Listed(id.clone(), restarted(1)))];
+    let news = vec![(
+        at(FENCE + 1),
+        EndpointUpdate::Listed(id.clone(), restarted(1)),
+    )];
     let digest = Digest {
         from: at(FENCE),
         news,
@@ -110,7 +113,7 @@
 fn a_report_after_a_restart_overrides_the_list() {
     let mut router = Router::planner(fleet(1));
     router.pass(100);
-    let alive = LookResult::Alive {
+    let alive = ProbeResult::Alive {
         born: Some(STARTED_MS + 30_000),
         seat: None,
         pace: 1_000,
@@ -151,7 +154,7 @@
 fn a_start_time_in_a_report_alone_is_no_restart() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.pass(100);
-    let alive = LookResult::Alive {
+    let alive = ProbeResult::Alive {
         born: Some(STARTED_MS),
         seat: None,
         pace: 1_000,
--- a/tests/direct/settings.rs
+++ b/tests/direct/settings.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use runrail::logic::direct::{DirectKnobs, RetryTerms, RetryWindow};
+use runrail::logic::direct::{DirectParams, RetryBounds, RetryWindow};
 use runrail::settings::DirectSettings;
 
 /// Numbers that the platform fills into the template.
@@ -110,11 +110,11 @@
     let mut count = 0;
     for _ in 0..routers {
         let mut window = RetryWindow::default();
-        let knobs = DirectKnobs {
+        let knobs = DirectParams {
             retry_extra: extra,
-            ..DirectKnobs::default()
+            ..DirectParams::default()
         };
-        let terms = RetryTerms::new(&knobs, routers);
+        let terms = RetryBounds::new(&knobs, routers);
         while window.retry(1_000, &terms) {
             count += 1;
         }
