--- a/src/link/callers.rs
+++ b/src/link/callers.rs
@@ -126,7 +126,7 @@
     let guard_shared = shared.clone();
     let mut guard = DisconnectGuard::new(move || {
         guard_shared.callers.borrow_mut().remove(&id);
-        guard_shared.send_direct(DirectEvent::Gone(id));
+        guard_shared.send_direct(DirectEvent::CallerGone(id));
     });
     shared.send(LinkEvent::Request {
         call: Box::new(call),
--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -159,39 +159,39 @@
             }
             DirectEffect::Cancel(run) => runs::cancel(&self.shared, run),
             DirectEffect::PassHead { request, run } => self.forward_head(request, run),
-            DirectEffect::PassWhole { request, run } => self.forward_answer(request, run),
-            DirectEffect::Piece { request, bytes } => {
+            DirectEffect::PassAnswer { request, run } => self.forward_answer(request, run),
+            DirectEffect::PassEvent { request, bytes } => {
                 self.forward_part(request, StreamPart::Bytes(bytes))
             }
-            DirectEffect::Finish(request) => {
+            DirectEffect::EndStream(request) => {
                 self.forward_part(request, StreamPart::End);
                 self.shared.callers.borrow_mut().remove(&request);
             }
-            DirectEffect::Cut(request) => {
+            DirectEffect::AbortStream(request) => {
                 self.shared.callers.borrow_mut().remove(&request);
             }
             DirectEffect::Refuse { request, problem } => self.refuse(request, problem),
-            DirectEffect::Look { id, addr } => looks::send_probe(&self.shared, id, addr),
+            DirectEffect::Probe { id, addr } => looks::send_probe(&self.shared, id, addr),
             DirectEffect::Order {
                 order,
                 id,
                 addr,
                 body,
             } => looks::send_order(&self.shared, order, id, addr, body),
-            DirectEffect::Tell { to, message } => peers::send(&self.shared, to, &message),
-            DirectEffect::TryStore => self.shared.gate.retry_now(),
-            DirectEffect::ReadRouting { asked } => {
-                self.shared.routing_reads.set(asked);
+            DirectEffect::SendMessage { to, message } => peers::send(&self.shared, to, &message),
+            DirectEffect::RetryStore => self.shared.gate.retry_now(),
+            DirectEffect::ReadRouting { read_number } => {
+                self.shared.routing_reads.set(read_number);
                 self.restart_watches();
             }
             DirectEffect::ReadList => self.shared.list_reread.notify_one(),
-            DirectEffect::Read { list, hold, upto } => {
+            DirectEffect::SetReadPace { list, hold, upto } => {
                 self.shared.known_upto.set(upto);
                 self.shared.list_pace.set(list);
                 self.shared.routing_held.set(hold);
                 self.shared.pace_changed.notify_waiters();
             }
-            DirectEffect::CloseDoors => {
+            DirectEffect::StopAccepting => {
                 self.shared.closed.set(true);
                 self.shared.close_listener.notify_waiters();
             }
--- a/src/link/looks.rs
+++ b/src/link/looks.rs
@@ -45,7 +45,7 @@
             Ok(Err(Fault::Refused)) => ProbeResult::Refused,
             _ => ProbeResult::Silent,
         };
-        shared.send_direct(DirectEvent::Looked { id, result });
+        shared.send_direct(DirectEvent::Probed { id, result });
     });
 }
 
@@ -94,7 +94,7 @@
             }
             _ => OrderResult::Unanswered,
         };
-        shared.send_direct(DirectEvent::Ordered { order, result });
+        shared.send_direct(DirectEvent::OrderResult { order, result });
     });
 }
 
@@ -102,7 +102,7 @@
 /// invalid limit is logged and changes nothing.
 pub(super) fn send_rate(shared: &Shared, id: &InstanceId, run: Option<u64>, headers: &HeaderMap) {
     match (shared.adapter.rate)(headers) {
-        Ok(rate) => shared.send_direct(DirectEvent::Rated {
+        Ok(rate) => shared.send_direct(DirectEvent::RateLimit {
             id: id.clone(),
             run,
             rate,
--- a/src/link/peers.rs
+++ b/src/link/peers.rs
@@ -20,7 +20,7 @@
             continue;
         };
         if let Ok(message) = ciborium::from_reader(&buffer[..length]) {
-            shared.send_direct(DirectEvent::Peer { from, message });
+            shared.send_direct(DirectEvent::PeerMessage { from, message });
         }
     }
 }
--- a/src/link/run_direct.rs
+++ b/src/link/run_direct.rs
@@ -71,7 +71,7 @@
         closed: Cell::new(false),
         close_listener: Notify::new(),
         list_reread: Notify::new(),
-        list_pace: Cell::new(ListPace::Rest),
+        list_pace: Cell::new(ListPace::Slow),
         era: Cell::new(None),
         era_changed: Notify::new(),
         known_upto: Cell::new(StorePosition::default()),
@@ -208,7 +208,7 @@
     let on_entries = |list: PrefixEntries| {
         let at = list.position;
         let entries = list.entries.iter().filter_map(read).collect();
-        shared.send_direct(DirectEvent::List { at, entries });
+        shared.send_direct(DirectEvent::ListRead { at, entries });
     };
     let on_changes = |at, changes: Vec<StoreChange>| {
         // An invalid entry counts as removed, as its endpoint can't be used.
@@ -218,7 +218,7 @@
             Some((InstanceId::new(id), entry.map(|(_, entry)| entry)))
         });
         let changes = changes.collect();
-        shared.send_direct(DirectEvent::Changes { at, changes });
+        shared.send_direct(DirectEvent::ListChanges { at, changes });
     };
     watches::follow(
         shared.clone(),
--- a/src/link/runs.rs
+++ b/src/link/runs.rs
@@ -53,7 +53,7 @@
 }
 
 fn send_part(shared: &Shared, run: u64, part: RunPart) {
-    shared.send_direct(DirectEvent::Part { run, part });
+    shared.send_direct(DirectEvent::RunPart { run, part });
 }
 
 /// Sends the request and reads the answer; returns the last part of it.
@@ -94,7 +94,7 @@
     if let Some(active) = shared.runs.borrow_mut().get_mut(&run.run) {
         active.body = whole.to_bytes();
     }
-    Some(RunPart::Whole {
+    Some(RunPart::Complete {
         status,
         not_run: reply.not_run,
     })
@@ -128,7 +128,7 @@
             return RunPart::Broken;
         }
         while let Some(event) = splitter.next_event() {
-            let part = RunPart::Piece {
+            let part = RunPart::Event {
                 id: event.id,
                 bytes: event.bytes,
             };
--- a/src/link/store.rs
+++ b/src/link/store.rs
@@ -66,7 +66,7 @@
         StoreCall::Renew { .. } => StoreUse::Renew,
         _ => StoreUse::Write,
     };
-    let is_planner = shared.list_pace.get() == ListPace::Often;
+    let is_planner = shared.list_pace.get() == ListPace::Fast;
     let permit = if is_planner && store_use == StoreUse::Renew {
         shared.gate.permit(false)
     } else {
--- a/src/link/watches.rs
+++ b/src/link/watches.rs
@@ -68,13 +68,13 @@
     mut on_changes: impl FnMut(StorePosition, Vec<StoreChange>),
 ) {
     loop {
-        let asked = shared.routing_reads.get();
+        let read_number = shared.routing_reads.get();
         let Some(read) = read_all(&shared, prefix).await else {
             continue;
         };
         let at = read.position;
         on_entries(read);
-        send_routing_checked(&shared, pace, asked);
+        send_routing_checked(&shared, pace, read_number);
         let watching = follow_changes(&shared, prefix, pace, at, &mut on_changes);
         if matches!(pace.what, Watch::List(_)) {
             // The reducer may request that the list is read in full again.
@@ -108,8 +108,9 @@
         if !shared.is_current_era(at.era) {
             return;
         }
-        let asked = shared.routing_reads.get();
-        let wait_ms = if permit.is_trial || (pace.what == Watch::Routing && asked > completed) {
+        let read_number = shared.routing_reads.get();
+        let wait_ms = if permit.is_trial || (pace.what == Watch::Routing && read_number > completed)
+        {
             SHORT_WAIT_MS
         } else {
             wait_ms(shared, pace)
@@ -136,8 +137,8 @@
                 at.revision = revision;
                 let count = changes.len();
                 on_changes(at, changes);
-                completed = asked;
-                send_routing_checked(shared, pace, asked);
+                completed = read_number;
+                send_routing_checked(shared, pace, read_number);
                 if count > 0 {
                     pause_after_changes(shared, pace, more_wait(count, before)).await;
                 }
@@ -153,9 +154,9 @@
 }
 
 /// Reports that the routing was read by a call that began after this read was requested.
-fn send_routing_checked(shared: &Shared, pace: WatchPace, asked: u64) {
+fn send_routing_checked(shared: &Shared, pace: WatchPace, read_number: u64) {
     if pace.what == Watch::Routing {
-        shared.send_direct(DirectEvent::RoutingChecked { asked });
+        shared.send_direct(DirectEvent::RoutingChecked { read_number });
     }
 }
 
@@ -166,7 +167,7 @@
         let changed = shared.pace_changed.notified();
         let held = match pace.what {
             Watch::Routing => shared.routing_held.get(),
-            Watch::List(_) => shared.list_pace.get() == ListPace::Told,
+            Watch::List(_) => shared.list_pace.get() == ListPace::Paused,
             Watch::Own => false,
         };
         if !held || !shared.is_current_era(at.era) {
@@ -185,7 +186,7 @@
     if known.era == at.era {
         at.revision = known.revision.max(at.revision);
     }
-    if shared.list_pace.get() != ListPace::Often {
+    if shared.list_pace.get() != ListPace::Fast {
         // The planner's updates end for all routers at the same time: their calls are spread.
         sleep(shared.min_pause().mul_f64(fastrand::f64())).await;
     }
@@ -193,7 +194,7 @@
 
 /// How long the store may hold the next watch call, in milliseconds.
 fn wait_ms(shared: &Shared, pace: WatchPace) -> u64 {
-    let is_planner = shared.list_pace.get() == ListPace::Often;
+    let is_planner = shared.list_pace.get() == ListPace::Fast;
     match pace.what {
         Watch::Routing | Watch::List(_) if is_planner => pace.wait_ms.min(PLANNER_WAIT_MS),
         _ => pace.wait_ms,
@@ -207,7 +208,7 @@
     let Watch::List(max_pause) = pace.what else {
         return;
     };
-    if shared.list_pace.get() == ListPace::Often || more {
+    if shared.list_pace.get() == ListPace::Fast || more {
         return;
     }
     if let Some(left) = max_pause.checked_sub(min_pause) {
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -27,9 +27,9 @@
     endpoints::on_output(state, now, id, heard);
     match part {
         RunPart::Head => on_head(state, now, id, run, out),
-        RunPart::Piece { id: event, bytes } => on_stream_event(state, now, id, event, bytes, out),
-        RunPart::End => finish::complete(state, now, id, DirectEffect::Finish(id), out),
-        RunPart::Whole { status, not_run } => {
+        RunPart::Event { id: event, bytes } => on_stream_event(state, now, id, event, bytes, out),
+        RunPart::End => finish::complete(state, now, id, DirectEffect::EndStream(id), out),
+        RunPart::Complete { status, not_run } => {
             on_whole_answer(state, now, id, run, status, not_run, out)
         }
         RunPart::NotSent { refused } => {
@@ -98,7 +98,10 @@
         .longest_pause
         .max(now.saturating_sub(flight.event_at));
     flight.event_at = now;
-    out.push(Effect::Direct(DirectEffect::Piece { request: id, bytes }));
+    out.push(Effect::Direct(DirectEffect::PassEvent {
+        request: id,
+        bytes,
+    }));
 }
 
 fn on_whole_answer(
@@ -124,6 +127,6 @@
         endpoints::release_run(state, id);
         return send::retry(state, now, id, true, "the endpoint failed", out);
     }
-    let pass = DirectEffect::PassWhole { request: id, run };
+    let pass = DirectEffect::PassAnswer { request: id, run };
     finish::complete(state, now, id, pass, out);
 }
--- a/src/logic/direct/crashes/share.rs
+++ b/src/logic/direct/crashes/share.rs
@@ -47,7 +47,7 @@
     for datagram in split_reports(reports) {
         for to in state.peers.values().copied() {
             let message = PeerMessage::Crashes(datagram.clone());
-            out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+            out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
         }
     }
 }
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -60,7 +60,7 @@
     if !suspected.probe_pending && now >= suspected.next_at {
         suspected.probe_pending = true;
         let id = id.clone();
-        out.push(Effect::Direct(DirectEffect::Look { id, addr }));
+        out.push(Effect::Direct(DirectEffect::Probe { id, addr }));
     }
 }
 
--- a/src/logic/direct/demand.rs
+++ b/src/logic/direct/demand.rs
@@ -154,7 +154,7 @@
     if let Some(to) = to {
         let (routers, models) = subtree_demand(state, now);
         let message = PeerMessage::Demand { routers, models };
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
 
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -95,7 +95,7 @@
     let digests = &state.digests;
     let since = now.saturating_sub(digests.sent);
     let due = since >= MAX_INTERVAL_MS || (digests.changed && since >= MIN_INTERVAL_MS);
-    if is_planner && due && state.knobs.on(Mechanism::News) && !state.peers.is_empty() {
+    if is_planner && due && state.knobs.on(Mechanism::Updates) && !state.peers.is_empty() {
         send_digests(state, now, out);
     }
     send_read_pace(state, now, out);
@@ -140,7 +140,7 @@
 fn forward(state: &DirectState, digest: &Digest, out: &mut Vec<Effect>) {
     for to in tree::children(state, &digest.root, digest.tree) {
         let message = PeerMessage::Digest(Box::new(digest.clone()));
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
 
@@ -211,16 +211,16 @@
 /// changed.
 fn send_read_pace(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let is_planner = state.plan.duty.fence > 0;
-    let pace = if is_planner || !state.knobs.on(Mechanism::News) {
-        ListPace::Often
+    let pace = if is_planner || !state.knobs.on(Mechanism::Updates) {
+        ListPace::Fast
     } else if now < state.digests.list_until {
-        ListPace::Told
+        ListPace::Paused
     } else {
-        ListPace::Rest
+        ListPace::Slow
     };
     let hold = !is_planner && now < state.digests.routing_until;
     if state.digests.pace != Some(pace) || state.digests.hold != hold {
-        if state.digests.pace == Some(ListPace::Told) {
+        if state.digests.pace == Some(ListPace::Paused) {
             // Digests lack changes that don't affect where requests go, such as the seats of
             // members other than heads and the models that hosts keep.
             state.digests.skipped = true;
@@ -228,7 +228,7 @@
         state.digests.pace = Some(pace);
         state.digests.hold = hold;
         let upto = state.digests.upto;
-        out.push(Effect::Direct(DirectEffect::Read {
+        out.push(Effect::Direct(DirectEffect::SetReadPace {
             list: pace,
             hold,
             upto,
--- a/src/logic/direct/direct_effect.rs
+++ b/src/logic/direct/direct_effect.rs
@@ -20,23 +20,23 @@
         run: u64,
     },
     /// Forward a run's complete answer to the caller.
-    PassWhole {
+    PassAnswer {
         /// The request.
         request: u64,
         /// The run.
         run: u64,
     },
     /// Forward events of a stream to the caller.
-    Piece {
+    PassEvent {
         /// The request.
         request: u64,
         /// Complete events, as the endpoint sent them.
         bytes: Bytes,
     },
     /// End the caller's stream: it is complete.
-    Finish(u64),
+    EndStream(u64),
     /// Abort the caller's stream, which is not complete.
-    Cut(u64),
+    AbortStream(u64),
     /// Send the caller an error response of the router's own.
     Refuse {
         /// The request.
@@ -45,7 +45,7 @@
         problem: Problem,
     },
     /// Probe an endpoint: ask it for its report.
-    Look {
+    Probe {
         /// The endpoint.
         id: InstanceId,
         /// Where it listens.
@@ -63,7 +63,7 @@
         body: GroupOrder,
     },
     /// Send a message to another router, which may be lost.
-    Tell {
+    SendMessage {
         /// Where that router listens.
         to: SocketAddr,
         /// The message.
@@ -72,24 +72,24 @@
     /// Read the routing now, even while reading it is suspended.
     ReadRouting {
         /// Number of the reading, echoed with its end.
-        asked: u64,
+        read_number: u64,
     },
     /// Read the complete endpoint list, as its changes lag behind.
     ReadList,
     /// If the store is unreachable, try it again now: it has answered another router.
-    TryStore,
+    RetryStore,
     /// Change how the store is read from now on.
-    Read {
+    SetReadPace {
         /// How often changes of the list are read.
         list: ListPace,
         /// Whether reading the routing is suspended, as digests tell of a new version.
         hold: bool,
         /// Position of the list up to which all changes that affect routing are known. After
-        /// a pause with `ListPace::Told`, reading goes on from there.
+        /// a pause with `ListPace::Paused`, reading goes on from there.
         upto: StorePosition,
     },
     /// Stop accepting callers' connections and close idle ones.
-    CloseDoors,
+    StopAccepting,
     /// Report to the balancer whether this router is ready for callers.
     Ready(bool),
 }
--- a/src/logic/direct/direct_event.rs
+++ b/src/logic/direct/direct_event.rs
@@ -21,17 +21,17 @@
     /// a new version, its `Routing` event came before.
     RoutingChecked {
         /// Number of the reading, from `ReadRouting`.
-        asked: u64,
+        read_number: u64,
     },
     /// The complete endpoint list was read; endpoints that it lacks are gone.
-    List {
+    ListRead {
         /// Position of the store when the reading began.
         at: StorePosition,
         /// Every entry.
         entries: Vec<(InstanceId, EndpointEntry)>,
     },
     /// Changes of the list up to a position; there may be none.
-    Changes {
+    ListChanges {
         /// Position of the store up to which the changes reach.
         at: StorePosition,
         /// The changes in order; `None` for a removed entry.
@@ -40,9 +40,9 @@
     /// A caller has sent a request.
     Request(Box<DirectRequest>),
     /// A caller has closed its connection; names its request.
-    Gone(u64),
+    CallerGone(u64),
     /// A part of an endpoint's answer to a run.
-    Part {
+    RunPart {
         /// The run.
         run: u64,
         /// The part.
@@ -50,7 +50,7 @@
     },
     /// An answer of an endpoint carries its rate limit, or says that there is none. Comes before
     /// the event for the answer itself.
-    Rated {
+    RateLimit {
         /// The endpoint.
         id: InstanceId,
         /// The run that it answers, if it is the answer to a run.
@@ -59,21 +59,21 @@
         rate: Option<RequestRate>,
     },
     /// The result of a probe.
-    Looked {
+    Probed {
         /// The endpoint.
         id: InstanceId,
         /// The result.
         result: ProbeResult,
     },
     /// A message from another router.
-    Peer {
+    PeerMessage {
         /// Its sender.
         from: SocketAddr,
         /// The message.
         message: PeerMessage,
     },
     /// An order to an endpoint has ended.
-    Ordered {
+    OrderResult {
         /// Number of the order.
         order: u64,
         /// Its outcome.
--- a/src/logic/direct/finish.rs
+++ b/src/logic/direct/finish.rs
@@ -144,7 +144,7 @@
             .with("sends", flight.tried.len())
             .with("why", why);
         out.push(Effect::Log(event));
-        out.push(Effect::Direct(DirectEffect::Cut(id)));
+        out.push(Effect::Direct(DirectEffect::AbortStream(id)));
         return;
     }
     let event = LogEvent::new(LogCode::RequestRefused)
--- a/src/logic/direct/list_pace.rs
+++ b/src/logic/direct/list_pace.rs
@@ -2,9 +2,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ListPace {
     /// Not at all: digests of the planner bring the changes.
-    Told,
+    Paused,
     /// At long intervals, short enough to notice in time that an endpoint leaves.
-    Rest,
+    Slow,
     /// At the shortest intervals, for the planner.
-    Often,
+    Fast,
 }
--- a/src/logic/direct/mechanism.rs
+++ b/src/logic/direct/mechanism.rs
@@ -18,11 +18,11 @@
     /// Moves streams away from a silent head.
     Silence,
     /// Has the planner probe the group of a head that pauses.
-    EarlyLooks,
+    EarlyProbes,
     /// Lets a stream that has begun wait for a head that resumes it.
     ResumeWait,
     /// Broadcasts changes of the endpoint list in digests.
-    News,
+    Updates,
     /// Weighs groups by demand instead of the published shares.
     Demand,
     /// Orders members that stay behind in a group that is over to leave it.
@@ -37,9 +37,9 @@
     ("second-models", Mechanism::SecondModels),
     ("spares", Mechanism::Spares),
     ("silence", Mechanism::Silence),
-    ("early-looks", Mechanism::EarlyLooks),
+    ("early-looks", Mechanism::EarlyProbes),
     ("resume-wait", Mechanism::ResumeWait),
-    ("news", Mechanism::News),
+    ("news", Mechanism::Updates),
     ("demand", Mechanism::Demand),
     ("freeing", Mechanism::Freeing),
 ];
--- a/src/logic/direct/pause.rs
+++ b/src/logic/direct/pause.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RoutingRecheck {
     /// Number of the last read that was requested.
-    pub asked: u64,
+    pub read_number: u64,
     /// Time at which it was requested, while requests wait for it.
     pub waiting_since: Option<Millis>,
 }
@@ -29,19 +29,19 @@
     if paused < MIN_PAUSE_MS || state.pause.waiting_since.is_some() || state.routing.is_none() {
         return;
     }
-    state.pause.asked += 1;
+    state.pause.read_number += 1;
     state.pause.waiting_since = Some(now);
     out.push(Effect::Log(
         LogEvent::new(LogCode::Paused).with("ms", paused),
     ));
-    let asked = state.pause.asked;
-    out.push(Effect::Direct(DirectEffect::ReadRouting { asked }));
+    let read_number = state.pause.read_number;
+    out.push(Effect::Direct(DirectEffect::ReadRouting { read_number }));
 }
 
-/// Handles the result of a read of the routing that began after it was requested; `asked`
+/// Handles the result of a read of the routing that began after it was requested; `read_number`
 /// is its number.
-pub(super) fn on_routing_checked(state: &mut DirectState, asked: u64) {
-    if asked == state.pause.asked {
+pub(super) fn on_routing_checked(state: &mut DirectState, read_number: u64) {
+    if read_number == state.pause.read_number {
         state.pause.waiting_since = None;
     }
 }
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -169,7 +169,7 @@
             id: id.clone(),
             addr,
         };
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
         numbers.push(number);
     }
     numbers
@@ -183,7 +183,7 @@
 pub(super) fn notify_store_back(state: &mut DirectState, out: &mut Vec<Effect>) {
     for to in pick_peers(state, STORE_BACK_FANOUT) {
         let message = PeerMessage::StoreBack;
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
 
@@ -214,13 +214,13 @@
                 at: now,
             };
             state.asked.entry(id.clone()).or_default().push(asked);
-            out.push(Effect::Direct(DirectEffect::Look { id, addr }));
+            out.push(Effect::Direct(DirectEffect::Probe { id, addr }));
         }
         PeerMessage::Digest(digest) => digests::on_digest(state, now, *digest, out),
         PeerMessage::Demand { routers, models } => {
             demand::on_report(state, now, from, routers, models);
         }
-        PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::TryStore)),
+        PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::RetryStore)),
         PeerMessage::Traffic => state.plan.traffic = true,
         PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rate_limit::on_peer_rate(state, now, &id, rate, out),
@@ -243,7 +243,7 @@
 fn notify_planner(state: &DirectState, message: PeerMessage, out: &mut Vec<Effect>) {
     let holder = state.plan.duty.holder.as_deref().map(InstanceId::new);
     if let Some(to) = holder.and_then(|h| state.peers.get(&h)).copied() {
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
 
@@ -261,6 +261,6 @@
             sight: endpoints::observation(state, now, id, result, asked.at),
         };
         let to = asked.from;
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -123,7 +123,7 @@
     let probe = state.plan.looks.entry(id.clone()).or_default();
     probe.pending = true;
     probe.since = now;
-    out.push(Effect::Direct(DirectEffect::Look {
+    out.push(Effect::Direct(DirectEffect::Probe {
         id: id.clone(),
         addr,
     }));
--- a/src/logic/direct/rate_limit.rs
+++ b/src/logic/direct/rate_limit.rs
@@ -146,7 +146,7 @@
     for to in addrs {
         let id = id.clone();
         let message = PeerMessage::Rate { id, rate };
-        out.push(Effect::Direct(DirectEffect::Tell { to, message }));
+        out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
 }
 
--- a/src/logic/direct/run_part.rs
+++ b/src/logic/direct/run_part.rs
@@ -6,7 +6,7 @@
     /// The head of a stream has arrived; the host keeps it.
     Head,
     /// One event of a stream.
-    Piece {
+    Event {
         /// Its id, if it has one.
         id: Option<u64>,
         /// Its bytes.
@@ -15,7 +15,7 @@
     /// The stream has ended normally.
     End,
     /// A complete answer has arrived; the host keeps it.
-    Whole {
+    Complete {
         /// HTTP status.
         status: u16,
         /// Whether the endpoint says that it did not run the request.
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -28,7 +28,7 @@
 /// Finds silent heads, reports suspected ones to the planner and moves streams away.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let min_limit = state.knobs.silence_ms;
-    let early = state.knobs.on(Mechanism::EarlyLooks);
+    let early = state.knobs.on(Mechanism::EarlyProbes);
     let mut silent = Vec::new();
     let mut suspected = Vec::new();
     for (id, view) in &mut state.endpoints {
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -52,9 +52,11 @@
         }
         DirectEvent::StoreBack => peers::notify_store_back(state, out),
         DirectEvent::RoutingRead => state.digests.routing_at = state.drained_at,
-        DirectEvent::RoutingChecked { asked } => pause::on_routing_checked(state, asked),
+        DirectEvent::RoutingChecked { read_number } => {
+            pause::on_routing_checked(state, read_number)
+        }
         DirectEvent::StoreEra(era) => store_restore::on_store_era(state, now, era, out),
-        DirectEvent::List { at, entries } => {
+        DirectEvent::ListRead { at, entries } => {
             // The entries of an era's first reading are no updates, so that the updates begin
             // after its position.
             let before = if state.listed_once && state.listed_at.era == at.era {
@@ -67,7 +69,7 @@
             state.digests.skipped = false;
             digests::on_list_read(state, now, before, at);
         }
-        DirectEvent::Changes { at, changes } => {
+        DirectEvent::ListChanges { at, changes } => {
             let before = state.listed_at;
             state.listed_at = before.max(at);
             for (id, entry) in changes {
@@ -76,18 +78,20 @@
             digests::on_list_read(state, now, before, at);
         }
         DirectEvent::Request(request) => accept::on_request(state, now, *request, out),
-        DirectEvent::Gone(id) => finish::on_caller_gone(state, id, out),
-        DirectEvent::Part { run, part } => answer::on_run_part(state, now, run, part, out),
-        DirectEvent::Rated { id, run, rate } => {
+        DirectEvent::CallerGone(id) => finish::on_caller_gone(state, id, out),
+        DirectEvent::RunPart { run, part } => answer::on_run_part(state, now, run, part, out),
+        DirectEvent::RateLimit { id, run, rate } => {
             rate_limit::on_answer_rate(state, now, &id, run, rate, out)
         }
-        DirectEvent::Looked { id, result } => {
+        DirectEvent::Probed { id, result } => {
             peers::on_probe_result(state, now, &id, &result, out);
             crashes::on_probe_result(state, now, &id, &result, out);
             plan::on_probe_result(state, now, &id, result, out);
         }
-        DirectEvent::Peer { from, message } => peers::on_message(state, now, from, message, out),
-        DirectEvent::Ordered { order, result } => {
+        DirectEvent::PeerMessage { from, message } => {
+            peers::on_message(state, now, from, message, out)
+        }
+        DirectEvent::OrderResult { order, result } => {
             plan::on_order_result(state, now, order, result, out)
         }
     }
@@ -163,7 +167,7 @@
     match state.ending {
         ShutdownStage::Accepting if now >= since + CLOSE_SIXTEENTHS * part => {
             state.ending = ShutdownStage::Draining;
-            out.push(Effect::Direct(DirectEffect::CloseDoors));
+            out.push(Effect::Direct(DirectEffect::StopAccepting));
         }
         ShutdownStage::Draining if answered || now >= since + EXIT_SIXTEENTHS * part => {
             state.ending = ShutdownStage::Done;
--- a/tests/direct/answers.rs
+++ b/tests/direct/answers.rs
@@ -25,7 +25,7 @@
     assert!(router.part(second.run, piece(2)).is_empty());
     assert_eq!(router.part(second.run, piece(3)).len(), 1);
     let end = router.part(second.run, RunPart::End);
-    assert_eq!(end, vec![DirectEffect::Finish(1)]);
+    assert_eq!(end, vec![DirectEffect::EndStream(1)]);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         first.careful,
         "no connection that the endpoint may be closing"
     );
-    let shed = RunPart::Whole {
+    let shed = RunPart::Complete {
         status: 503,
         not_run: true,
     };
@@ -59,13 +59,13 @@
 #[test]
 fn an_endpoints_own_failure_is_passed_on_where_nothing_may_be_repeated() {
     let mut router = Router::new(vec![plain(1), plain(2)]);
-    let failed = |not_run| RunPart::Whole {
+    let failed = |not_run| RunPart::Complete {
         status: 500,
         not_run,
     };
     let once = run(&router.ask(1, "/once/x"));
     let passed = router.part(once.run, failed(false));
-    assert!(matches!(passed[..], [DirectEffect::PassWhole { .. }]));
+    assert!(matches!(passed[..], [DirectEffect::PassAnswer { .. }]));
     let safe = run(&router.ask(2, "/safe/x"));
     let again = run(&router.part(safe.run, failed(false)));
     assert_ne!(again.to, safe.to);
@@ -75,7 +75,7 @@
 fn a_caller_that_leaves_ends_its_run_at_once() {
     let mut router = two_groups();
     let sent = run(&router.ask(1, "/stream/x"));
-    router.tell(DirectEvent::Gone(1));
+    router.tell(DirectEvent::CallerGone(1));
     assert_eq!(router.take(), vec![DirectEffect::Cancel(sent.run)]);
 }
 
@@ -85,7 +85,7 @@
     let begun = run(&router.ask(1, "/stream/x"));
     router.part(begun.run, RunPart::Head);
     router.pass(5_100);
-    assert!(router.take().contains(&DirectEffect::Cut(1)));
+    assert!(router.take().contains(&DirectEffect::AbortStream(1)));
 }
 
 /// Guards against a false "not run": the endpoint may have begun to run the request.
@@ -148,7 +148,8 @@
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
     router.pass(1_500);
-    let ends = |e: &DirectEffect| matches!(e, DirectEffect::Cancel(_) | DirectEffect::Cut(_));
+    let ends =
+        |e: &DirectEffect| matches!(e, DirectEffect::Cancel(_) | DirectEffect::AbortStream(_));
     assert!(!router.take().iter().any(ends));
     assert_eq!(router.part(first.run, piece(1)).len(), 1);
 }
@@ -171,7 +172,7 @@
     let mut again = 0;
     for id in 0..400 {
         let sent = run(&router.ask(id, "/safe/x"));
-        let failed = RunPart::Whole {
+        let failed = RunPart::Complete {
             status: 500,
             not_run: false,
         };
@@ -207,7 +208,7 @@
 fn a_silent_head_without_work_here_is_tried_again_after_a_while() {
     let mut router = two_groups();
     let first = run(&router.ask(1, "/stream/x"));
-    router.tell(DirectEvent::Gone(1));
+    router.tell(DirectEvent::CallerGone(1));
     router
         .state()
         .endpoints
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -48,11 +48,11 @@
             return crashed;
         };
         crashed.push(to);
-        router.tell(DirectEvent::Part {
+        router.tell(DirectEvent::RunPart {
             run,
             part: RunPart::Head,
         });
-        router.tell(DirectEvent::Part {
+        router.tell(DirectEvent::RunPart {
             run,
             part: RunPart::Broken,
         });
@@ -63,7 +63,7 @@
 /// Answers the probes of endpoints that have crashed: nothing listens there.
 fn answer_probes(router: &mut Router) {
     let probes = router.done.iter().filter_map(|e| match e {
-        Effect::Direct(DirectEffect::Look { id, .. }) => Some(id.to_string()),
+        Effect::Direct(DirectEffect::Probe { id, .. }) => Some(id.to_string()),
         _ => None,
     });
     for id in probes.collect::<Vec<_>>() {
@@ -114,7 +114,7 @@
         here.pass(400);
         for (_, message) in here.said() {
             let from = addr(2_000);
-            there.tell(DirectEvent::Peer { from, message });
+            there.tell(DirectEvent::PeerMessage { from, message });
         }
     }
     assert_eq!(crashes, BLOCKING_CRASHES);
@@ -343,7 +343,7 @@
     };
     let informed = || {
         let mut router = Router::new(open_groups());
-        router.tell(DirectEvent::Peer {
+        router.tell(DirectEvent::PeerMessage {
             from: addr(2_000),
             message: PeerMessage::Crashes(vec![report.clone()]),
         });
--- a/tests/direct/demand.rs
+++ b/tests/direct/demand.rs
@@ -83,7 +83,7 @@
         value: requests * 1_500,
         ..ModelDemand::none(&Arc::from(model))
     };
-    router.tell(DirectEvent::Peer {
+    router.tell(DirectEvent::PeerMessage {
         from: addr(802),
         message: PeerMessage::Demand {
             routers: 1,
@@ -158,7 +158,7 @@
         requests: 700,
         ..ModelDemand::none(&Arc::from(MODEL))
     };
-    router.tell(DirectEvent::Peer {
+    router.tell(DirectEvent::PeerMessage {
         from: addr(803),
         message: PeerMessage::Demand {
             routers: 3,
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -66,7 +66,7 @@
     let mut most = pending.len();
     while let Some((to, message)) = pending.pop() {
         if let Some(router) = routers.get_mut(&to) {
-            router.tell(DirectEvent::Peer {
+            router.tell(DirectEvent::PeerMessage {
                 from: addr(1),
                 message,
             });
@@ -97,7 +97,7 @@
         let (id, mut entry) = open_group("g", [1, 2, 3]).remove(0);
         entry.leaving = true;
         entry.beats = 9;
-        planner.tell(DirectEvent::Changes {
+        planner.tell(DirectEvent::ListChanges {
             at: at(FENCE + 1),
             changes: vec![(id.clone(), Some(entry))],
         });
@@ -118,19 +118,19 @@
 fn digests_suspend_reading_until_none_arrives() {
     let mut router = follower();
     router.pass(100);
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, false)));
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
     hear(
         &mut router,
         digest(1, FENCE - 1, FENCE + 3, vec![leaving()]),
     );
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     let effects = router.ask(1, "/stream/x");
     assert!(
         !effects.iter().any(|e| matches!(e, DirectEffect::Run(_))),
         "its head leaves"
     );
     router.pass(1_300);
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, false)));
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
 }
 
 #[test]
@@ -143,14 +143,14 @@
         &mut router,
         digest(1, FENCE + 1, FENCE + 3, vec![leaving()]),
     );
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, true)));
     let mut cut = digest(2, FENCE, FENCE + 4, Vec::new());
     cut.whole = false;
     hear(&mut router, cut);
     router.pass(100);
     assert_eq!(pace(&mut router), None, "the list is still read");
     hear(&mut router, digest(3, FENCE, FENCE + 4, Vec::new()));
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
 }
 
 /// A planner that has just started doesn't know what left the list before. If its digests
@@ -161,7 +161,7 @@
     let mut fresh = Router::bare();
     fresh.state().me = InstanceId::new("r0");
     fresh.tell(DirectEvent::Routing(routing(1).into()));
-    fresh.tell(DirectEvent::List {
+    fresh.tell(DirectEvent::ListRead {
         at: at(FENCE + 5),
         entries: Vec::new(),
     });
@@ -179,7 +179,7 @@
     for digest in digests {
         hear(&mut router, digest);
     }
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, true)), "it reads");
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, true)), "it reads");
 }
 
 #[test]
@@ -187,15 +187,15 @@
     let mut router = follower();
     router.pass(100);
     hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     let mut newer = digest(2, FENCE, FENCE, Vec::new());
     newer.routing = 2;
     hear(&mut router, newer.clone());
-    assert_eq!(pace(&mut router), Some((ListPace::Told, false)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, false)));
     router.tell(DirectEvent::Routing(std::sync::Arc::new(routing(2))));
     newer.number = 3;
     hear(&mut router, newer);
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
 }
 
 #[test]
@@ -223,9 +223,9 @@
     }
     hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
     let effects = router.take();
-    let held = |e: &DirectEffect| matches!(e, DirectEffect::Read { hold: true, .. });
+    let held = |e: &DirectEffect| matches!(e, DirectEffect::SetReadPace { hold: true, .. });
     let ages = effects.iter().filter_map(|e| match e {
-        DirectEffect::Tell {
+        DirectEffect::SendMessage {
             message: PeerMessage::Digest(digest),
             ..
         } => Some(digest.routing_age.min(digest.list_age)),
@@ -268,7 +268,7 @@
     let effects = router.take();
     assert!(!effects
         .iter()
-        .any(|e| matches!(e, DirectEffect::Tell { .. })));
+        .any(|e| matches!(e, DirectEffect::SendMessage { .. })));
 }
 
 #[test]
@@ -352,13 +352,13 @@
         &mut router,
         digest(1, FENCE, FENCE + 9, vec![EndpointUpdate::Gone(id.clone())]),
     );
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     let (_, entry) = open_group("g", [1, 2, 3]).remove(0);
-    router.tell(DirectEvent::Changes {
+    router.tell(DirectEvent::ListChanges {
         at: at(FENCE + 5),
         changes: vec![(id, Some(entry))],
     });
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, true)));
 }
 
 #[test]
@@ -384,11 +384,11 @@
     router.tell(DirectEvent::StoreBack);
     let notified: BTreeSet<_> = router.said().into_iter().map(|(to, _)| to).collect();
     assert_eq!(notified.len(), 3);
-    router.tell(DirectEvent::Peer {
+    router.tell(DirectEvent::PeerMessage {
         from: addr(2_000),
         message: PeerMessage::StoreBack,
     });
-    assert_eq!(router.take(), vec![DirectEffect::TryStore]);
+    assert_eq!(router.take(), vec![DirectEffect::RetryStore]);
 }
 
 /// When the digests end, reading goes on from the last one, so that the loss of a planner doesn't
@@ -401,7 +401,7 @@
     router.pass(1_300);
     router.take();
     router.state().plan.duty.holder = None;
-    router.tell(DirectEvent::Changes {
+    router.tell(DirectEvent::ListChanges {
         at: at(FENCE + 1),
         changes: Vec::new(),
     });
@@ -459,7 +459,7 @@
     );
     assert_eq!(
         pace(&mut router),
-        Some((ListPace::Rest, true)),
+        Some((ListPace::Slow, true)),
         "it reads the list"
     );
 }
@@ -475,7 +475,7 @@
         let (id, mut entry) = entries().remove(usize::from(n) - 1);
         entry.leaving = true;
         entry.beats = 9;
-        planner.tell(DirectEvent::Changes {
+        planner.tell(DirectEvent::ListChanges {
             at: at(FENCE + i64::from(n)),
             changes: vec![(id, Some(entry))],
         });
@@ -484,7 +484,7 @@
     let mut router = Router::named("r1", &names(2), entries());
     let sent = planner.said();
     for (_, message) in sent {
-        router.tell(DirectEvent::Peer {
+        router.tell(DirectEvent::PeerMessage {
             from: addr(2_000),
             message,
         });
@@ -495,7 +495,7 @@
         .values()
         .filter(|v| v.entry.leaving);
     assert_eq!(leaving.count(), 14);
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
 }
 
 /// An entry of the list with long names.
@@ -523,7 +523,7 @@
         (InstanceId::new(&format!("{id}-{n}")), Some(entry))
     };
     planner.take();
-    planner.tell(DirectEvent::Changes {
+    planner.tell(DirectEvent::ListChanges {
         at: at(FENCE + 1),
         changes: (0..40).map(named).collect(),
     });
@@ -567,7 +567,7 @@
             era: 1 << 20,
             revision,
         };
-        planner.tell(DirectEvent::Changes {
+        planner.tell(DirectEvent::ListChanges {
             at,
             changes: named(&entry),
         });
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -49,7 +49,7 @@
     /// Feeds the routing and the endpoint list.
     pub fn initialize(&mut self, entries: Vec<(InstanceId, EndpointEntry)>) {
         self.tell(DirectEvent::Routing(Arc::new(routing(1))));
-        self.tell(DirectEvent::List {
+        self.tell(DirectEvent::ListRead {
             at: at(FENCE),
             entries,
         });
@@ -144,10 +144,12 @@
                 };
                 self.feed(event);
             }
-            if let (Effect::Direct(DirectEffect::ReadRouting { asked }), true) =
+            if let (Effect::Direct(DirectEffect::ReadRouting { read_number }), true) =
                 (&effect, self.checks)
             {
-                self.feed(Event::Direct(DirectEvent::RoutingChecked { asked: *asked }));
+                self.feed(Event::Direct(DirectEvent::RoutingChecked {
+                    read_number: *read_number,
+                }));
             }
             self.done.push(effect);
         }
@@ -179,7 +181,7 @@
     /// Takes the messages that were sent to other routers, and drops the other effects.
     pub fn said(&mut self) -> Vec<(SocketAddr, PeerMessage)> {
         let messages = self.take().into_iter().filter_map(|e| match e {
-            DirectEffect::Tell { to, message } => Some((to, message)),
+            DirectEffect::SendMessage { to, message } => Some((to, message)),
             _ => None,
         });
         messages.collect()
@@ -197,13 +199,13 @@
     }
 
     pub fn part(&mut self, run: u64, part: RunPart) -> Vec<DirectEffect> {
-        self.tell(DirectEvent::Part { run, part });
+        self.tell(DirectEvent::RunPart { run, part });
         self.take()
     }
 
     pub fn change(&mut self, id: &str, entry: Option<EndpointEntry>) {
         let id = InstanceId::new(id);
-        self.tell(DirectEvent::Changes {
+        self.tell(DirectEvent::ListChanges {
             at: at(FENCE),
             changes: vec![(id, entry)],
         });
@@ -211,7 +213,7 @@
 
     pub fn looked(&mut self, id: &str, result: ProbeResult) {
         let id = InstanceId::new(id);
-        self.tell(DirectEvent::Looked { id, result });
+        self.tell(DirectEvent::Probed { id, result });
     }
 
     /// Takes the effects, and returns the groups of more than one member that endpoints were
@@ -231,7 +233,7 @@
     }
 
     pub fn answer_order(&mut self, order: u64, result: OrderResult) {
-        self.tell(DirectEvent::Ordered { order, result });
+        self.tell(DirectEvent::OrderResult { order, result });
     }
 }
 
@@ -266,7 +268,7 @@
 }
 
 pub fn piece(id: u64) -> RunPart {
-    RunPart::Piece {
+    RunPart::Event {
         id: Some(id),
         bytes: Bytes::from(format!("id: {id}\n\n")),
     }
@@ -322,7 +324,7 @@
             if let Some(run) = sent {
                 router.part(
                     run,
-                    RunPart::Whole {
+                    RunPart::Complete {
                         status: 200,
                         not_run: false,
                     },
@@ -456,7 +458,7 @@
 }
 
 pub fn hear(router: &mut Router, digest: Digest) {
-    router.tell(DirectEvent::Peer {
+    router.tell(DirectEvent::PeerMessage {
         from: addr(2_000),
         message: PeerMessage::Digest(Box::new(digest)),
     });
@@ -466,7 +468,7 @@
 /// list, and whether reads of the routing are held.
 pub fn pace(router: &mut Router) -> Option<(ListPace, bool)> {
     let reads = router.take().into_iter().filter_map(|e| match e {
-        DirectEffect::Read { list, hold, .. } => Some((list, hold)),
+        DirectEffect::SetReadPace { list, hold, .. } => Some((list, hold)),
         _ => None,
     });
     reads.last()
--- a/tests/direct/lag.rs
+++ b/tests/direct/lag.rs
@@ -7,7 +7,7 @@
 
 /// Delivers a complete reading of the list at a revision.
 fn list(router: &mut Router, revision: i64, entries: Vec<(InstanceId, EndpointEntry)>) {
-    router.tell(DirectEvent::List {
+    router.tell(DirectEvent::ListRead {
         at: at(revision),
         entries,
     });
--- a/tests/direct/needs.rs
+++ b/tests/direct/needs.rs
@@ -49,7 +49,7 @@
         .peers
         .insert(InstanceId::new("r2"), addr(802));
     keep_busy(&mut router, 0.0, 0.1, 3);
-    router.tell(DirectEvent::Peer {
+    router.tell(DirectEvent::PeerMessage {
         from: addr(802),
         message: PeerMessage::Demand {
             routers: 1,
--- a/tests/direct/pauses.rs
+++ b/tests/direct/pauses.rs
@@ -19,12 +19,12 @@
 
 /// Ends the read of the routing that the effects ask for.
 fn finish_read(router: &mut Router, effects: &[DirectEffect]) {
-    let asked = effects.iter().find_map(|e| match e {
-        DirectEffect::ReadRouting { asked } => Some(*asked),
+    let read_number = effects.iter().find_map(|e| match e {
+        DirectEffect::ReadRouting { read_number } => Some(*read_number),
         _ => None,
     });
-    let asked = asked.expect("the routing is read again");
-    router.tell(DirectEvent::RoutingChecked { asked });
+    let read_number = read_number.expect("the routing is read again");
+    router.tell(DirectEvent::RoutingChecked { read_number });
 }
 
 /// Guards against a router that refuses callers by an outdated routing: after a planning pass
@@ -55,7 +55,7 @@
     let mut router = Router::new(open_group("g1", [1, 2, 3]));
     let paused = ask_after_pause(&mut router, "/stream/x");
     router.take();
-    router.tell(DirectEvent::RoutingChecked { asked: 0 });
+    router.tell(DirectEvent::RoutingChecked { read_number: 0 });
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
     assert!(!router.take().iter().any(runs));
     finish_read(&mut router, &paused);
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -35,7 +35,7 @@
 
 fn make_ready(router: &mut Router) {
     router.tell(DirectEvent::Routing(Arc::new(routing(1))));
-    router.tell(DirectEvent::List {
+    router.tell(DirectEvent::ListRead {
         at: at(FENCE),
         entries: open_group("g", [1, 2, 3]),
     });
@@ -57,7 +57,7 @@
 fn a_caller_that_leaves_before_anything_is_known_is_forgotten() {
     let mut router = Router::bare();
     router.ask(1, "/stream/x");
-    router.tell(DirectEvent::Gone(1));
+    router.tell(DirectEvent::CallerGone(1));
     make_ready(&mut router);
     assert!(sent(&router.take()).is_empty());
 }
@@ -140,7 +140,7 @@
     };
     busy(&mut router, "e5", 48);
     let last = run(&router.ask(100, "/stream/x")).run;
-    let whole = RunPart::Whole {
+    let whole = RunPart::Complete {
         status: 503,
         not_run: true,
     };
--- a/tests/direct/rates.rs
+++ b/tests/direct/rates.rs
@@ -41,14 +41,14 @@
 
 /// The endpoint answers a run and names a limit in thousandths of a request a second, or none.
 fn answer_with_limit(router: &mut Router, run: Option<u64>, milli: Option<u64>) {
-    router.tell(DirectEvent::Rated {
+    router.tell(DirectEvent::RateLimit {
         id: InstanceId::new(LIMITED),
         run,
         rate: milli.map(RequestRate::from_milli),
     });
 }
 
-const ANSWERED: RunPart = RunPart::Whole {
+const ANSWERED: RunPart = RunPart::Complete {
     status: 200,
     not_run: false,
 };
@@ -113,7 +113,7 @@
         for (_, message) in from.said() {
             if matches!(message, PeerMessage::Rate { .. }) {
                 let from = addr(2_000);
-                to.tell(DirectEvent::Peer { from, message });
+                to.tell(DirectEvent::PeerMessage { from, message });
             }
         }
     };
@@ -127,7 +127,7 @@
         rate: None,
     };
     let from = addr(2_000);
-    second.tell(DirectEvent::Peer {
+    second.tell(DirectEvent::PeerMessage {
         from,
         message: over,
     });
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -89,7 +89,7 @@
 /// Numbers of the questions to other routers.
 fn question_numbers(router: &mut Router) -> Vec<u64> {
     let number = |e: &DirectEffect| match e {
-        DirectEffect::Tell {
+        DirectEffect::SendMessage {
             message: PeerMessage::Ask { number, .. },
             ..
         } => Some(*number),
@@ -102,7 +102,7 @@
 fn report(router: &mut Router, number: u64, sight: Observation) {
     let message = PeerMessage::Seen { number, sight };
     let from = addr(801);
-    router.tell(DirectEvent::Peer { from, message });
+    router.tell(DirectEvent::PeerMessage { from, message });
 }
 
 /// A head that leaves during an outage of the store has stopped listening and still finishes
@@ -167,9 +167,9 @@
             addr: sent.addr,
         };
         let from = addr(802);
-        router.tell(DirectEvent::Peer { from, message });
+        router.tell(DirectEvent::PeerMessage { from, message });
         router.looked(sent.to.as_str(), ProbeResult::Refused);
-        let is_reported = |e: &DirectEffect| matches!(e, DirectEffect::Tell { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
+        let is_reported = |e: &DirectEffect| matches!(e, DirectEffect::SendMessage { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
         let effects = router.take();
         assert!(effects.iter().any(is_reported), "{expected:?}: {effects:?}");
     }
@@ -295,7 +295,7 @@
     let effects = router.take();
     assert!(leaves(&effects).is_empty());
     let is_probe =
-        |e: &&DirectEffect| matches!(e, DirectEffect::Look { id, .. } if id.as_str() == "e2");
+        |e: &&DirectEffect| matches!(e, DirectEffect::Probe { id, .. } if id.as_str() == "e2");
     assert_eq!(effects.iter().filter(is_probe).count(), 1);
 }
 
@@ -326,16 +326,16 @@
         addr: addr(1_001),
     };
     let from = addr(802);
-    router.tell(DirectEvent::Peer { from, message });
+    router.tell(DirectEvent::PeerMessage { from, message });
     let effects = router.take();
-    let is_probe = |e: &DirectEffect| matches!(e, DirectEffect::Look { .. });
+    let is_probe = |e: &DirectEffect| matches!(e, DirectEffect::Probe { .. });
     assert!(effects.iter().any(is_probe), "{effects:?}");
     router.looked("e1", ProbeResult::Silent);
     let message = PeerMessage::Seen {
         number: 77,
         sight: Observation::Silent,
     };
-    let reply = DirectEffect::Tell { to: from, message };
+    let reply = DirectEffect::SendMessage { to: from, message };
     assert!(router.take().contains(&reply));
 }
 
@@ -415,7 +415,7 @@
     assert_eq!(run(&effects).to.as_str(), "e1");
     router.pass(180);
     let probed_id = |e: &DirectEffect| match e {
-        DirectEffect::Look { id, .. } => Some(id.to_string()),
+        DirectEffect::Probe { id, .. } => Some(id.to_string()),
         _ => None,
     };
     let mut ids: Vec<_> = router.take().iter().filter_map(probed_id).collect();
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -147,12 +147,12 @@
     let mut router = Router::named("r1", &routers, open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(0));
     receive_digest(&mut router, 1, 0, FENCE);
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     // Its sender already knows that the store was restored.
     receive_digest(&mut router, 2, 1, 1);
-    assert_eq!(pace(&mut router), Some((ListPace::Rest, false)));
+    assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
     router.tell(DirectEvent::StoreEra(1));
-    router.tell(DirectEvent::List {
+    router.tell(DirectEvent::ListRead {
         at: StorePosition {
             era: 1,
             revision: 2,
@@ -160,7 +160,7 @@
         entries: open_group("g", [1, 2, 3]),
     });
     receive_digest(&mut router, 3, 1, 2);
-    assert_eq!(pace(&mut router), Some((ListPace::Told, true)));
+    assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     router.pass(1_300);
     router.take();
     // Another sender doesn't know that yet.
--- a/tests/direct/retries.rs
+++ b/tests/direct/retries.rs
@@ -49,11 +49,11 @@
 
 /// Sends requests whose first endpoint has no room; a retry is served.
 fn send_shed_requests(router: &mut Router, requests: u64, count: &mut Count) {
-    let sheds = RunPart::Whole {
+    let sheds = RunPart::Complete {
         status: 503,
         not_run: true,
     };
-    let serves = RunPart::Whole {
+    let serves = RunPart::Complete {
         status: 200,
         not_run: false,
     };
@@ -160,7 +160,7 @@
 fn retries_of_an_earlier_process_are_not_spent_again() {
     let mut router = router_with_peers(1_000, 10);
     router.pass(2 * WINDOW_MS);
-    let served = RunPart::Whole {
+    let served = RunPart::Complete {
         status: 200,
         not_run: false,
     };
--- a/tests/direct/stopping.rs
+++ b/tests/direct/stopping.rs
@@ -24,7 +24,7 @@
         router.pass(100);
         effects.extend(router.part(accepted.run, piece(n)));
     }
-    assert!(effects.contains(&DirectEffect::CloseDoors));
+    assert!(effects.contains(&DirectEffect::StopAccepting));
     let refused = router.ask(2, "/stream/x");
     assert!(
         matches!(problem(&refused), Some(Problem::NotRun(_))),
@@ -32,7 +32,7 @@
     );
     router.pass(200);
     assert_eq!(ended(&router), 0, "a stream is still being served");
-    router.tell(runrail::logic::direct::DirectEvent::Part {
+    router.tell(runrail::logic::direct::DirectEvent::RunPart {
         run: accepted.run,
         part: RunPart::End,
     });
