--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -105,7 +105,7 @@
     /// Histograms, gauges and counters of this router in the metrics text format.
     fn metrics_text(&self) -> String {
         let gauges = match &self.node {
-            Node::Direct(state) => state.figures(self.clock.now()),
+            Node::Direct(state) => state.metrics(self.clock.now()),
             _ => Vec::new(),
         };
         let mut counts: Vec<_> = self
--- a/src/link/looks.rs
+++ b/src/link/looks.rs
@@ -55,9 +55,9 @@
     (shared.adapter.looked)(status, body).unwrap_or_else(|why| {
         log_unreadable("a report", id.as_str(), &why);
         ProbeResult::Alive {
-            born: None,
+            started_ms: None,
             seat: None,
-            pace: NORMAL_PACE_PER_MILLE,
+            slowness: NORMAL_PACE_PER_MILLE,
         }
     })
 }
--- a/src/link/run_direct.rs
+++ b/src/link/run_direct.rs
@@ -117,8 +117,8 @@
         fastrand::u64(1..),
         settings.knobs.clone(),
     );
-    state.plan.first = settings.first_start;
-    state.addr = settings.peers;
+    state.plan.first_start = settings.first_start;
+    state.own_addr = settings.peers;
     let node = Node::Direct(Box::new(state));
     let metrics = Metrics::new(None)?;
     let mut stakker = Stakker::new(Instant::now());
--- a/src/link/runs.rs
+++ b/src/link/runs.rs
@@ -65,7 +65,7 @@
     let request = (shared.adapter.run)(run, &received.head, received.body.clone());
     let sent = shared
         .pool
-        .send(run.addr, request, run.careful, CONNECT_TIMEOUT)
+        .send(run.addr, request, run.avoid_stale, CONNECT_TIMEOUT)
         .await;
     let (response, connection) = match sent {
         Ok(answer) => answer,
--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -20,8 +20,8 @@
     request: DirectRequest,
     out: &mut Vec<Effect>,
 ) {
-    if state.ending != ShutdownStage::Accepting {
-        let problem = Problem::NotRun(state.knobs.again_ms / 4);
+    if state.shutdown != ShutdownStage::Accepting {
+        let problem = Problem::NotRun(state.params.again_ms / 4);
         return finish::refuse(
             request.id,
             &request.label,
@@ -76,11 +76,11 @@
             out,
         );
     };
-    let fingerprint = request.content.by(account.as_deref());
+    let fingerprint = request.fingerprint.for_account(account.as_deref());
     if let Some((problem, why)) = crashes::refusal(state, &fingerprint) {
         return finish::refuse(request.id, &request.label, problem, why, out);
     }
-    let random = state.random(u64::MAX);
+    let random = state.random_below(u64::MAX);
     let Some(service) = route.service(random).cloned() else {
         return finish::refuse(
             request.id,
@@ -90,22 +90,22 @@
             out,
         );
     };
-    let (window, id) = (state.knobs.retry_window, request.id);
+    let (window, id) = (state.params.retry_window, request.id);
     state
         .retries
         .entry(service.clone())
         .or_default()
-        .request(now, window);
+        .record_request(now, window);
     let wait = request
         .wait_ms
         .unwrap_or(route.timeout_ms)
         .min(route.timeout_ms);
-    if !state.plan.traffic {
-        state.plan.traffic = true;
+    if !state.plan.has_traffic {
+        state.plan.has_traffic = true;
         peers::notify_traffic(state, out);
     }
     if let Some(model) = request.model.as_ref() {
-        let tokens = (request.prompt, request.answer);
+        let tokens = (request.prompt_tokens, request.answer_tokens);
         demand::count_request(state, now, &route, &service, model, tokens);
     }
     let flight = InFlightRequest {
@@ -113,11 +113,11 @@
         label: request.label,
         service,
         model: request.model,
-        prompt: request.prompt,
-        answer: request.answer,
+        prompt_tokens: request.prompt_tokens,
+        answer_tokens: request.answer_tokens,
         account,
         priority,
-        turn: Precedence::Fresh,
+        precedence: Precedence::Fresh,
         wait_until: arrived_at + queue::max_wait(Some(wait)),
         arrived: arrived_at,
         deadline: arrived_at + wait.max(MIN_WAIT_MS),
@@ -131,7 +131,7 @@
         event_at: arrived_at,
         route,
     };
-    state.flights.insert(id, flight);
+    state.in_flight.insert(id, flight);
     send::send_or_wait(state, now, id, out);
 }
 
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -56,14 +56,20 @@
 
 fn on_head(state: &mut DirectState, now: Millis, id: u64, run: u64, out: &mut Vec<Effect>) {
     let run_now = state
-        .flights
+        .in_flight
         .get(&id)
         .and_then(|f| Some((f.run.clone()?, f.route.target_ms)));
     if let Some((run, target)) = run_now.filter(|(r, _)| !r.begun) {
-        limit::on_run_begun(state, now, &run.at, now.saturating_sub(run.since), target);
+        limit::on_run_begun(
+            state,
+            now,
+            &run.endpoint,
+            now.saturating_sub(run.sent_at),
+            target,
+        );
     }
     endpoints::on_answer_begun(state, id);
-    let Some(flight) = state.flights.get_mut(&id) else {
+    let Some(flight) = state.in_flight.get_mut(&id) else {
         return;
     };
     if !flight.head_sent {
@@ -84,11 +90,11 @@
     bytes: bytes::Bytes,
     out: &mut Vec<Effect>,
 ) {
-    let Some(flight) = state.flights.get_mut(&id) else {
+    let Some(flight) = state.in_flight.get_mut(&id) else {
         return;
     };
     if let Some(run) = &mut flight.run {
-        run.moved = true;
+        run.has_event = true;
     }
     if event.is_some() && event <= flight.last_event {
         return;
@@ -113,7 +119,7 @@
     not_run: bool,
     out: &mut Vec<Effect>,
 ) {
-    let Some(flight) = state.flights.get(&id) else {
+    let Some(flight) = state.in_flight.get(&id) else {
         return;
     };
     let failed = status >= MIN_SERVER_ERROR && status != GATEWAY_TIMEOUT;
--- a/src/logic/direct/arrivals.rs
+++ b/src/logic/direct/arrivals.rs
@@ -6,23 +6,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ModelArrivals {
     /// All requests, including those sent again after a refusal.
-    pub came: ModelDemand,
+    pub received: ModelDemand,
     /// Requests whose callers were asked to come back, in thousandths of a request.
     pub refused: u64,
 }
 
 impl ModelArrivals {
     /// No requests for a model.
-    pub fn none(model: &Arc<str>) -> Self {
+    pub fn empty(model: &Arc<str>) -> Self {
         Self {
-            came: ModelDemand::none(model),
+            received: ModelDemand::none(model),
             refused: 0,
         }
     }
 
     /// Adds the requests of another slot.
     pub fn add(&mut self, other: &Self) {
-        self.came.add(&other.came);
+        self.received.add(&other.received);
         self.refused += other.refused;
     }
 
@@ -32,7 +32,7 @@
     /// to come back once. If a part `q` of all requests is refused, `n` requests are
     /// `n / (1 + q)` first tries; the rest was sent again.
     pub fn first_tries(&self) -> ModelDemand {
-        let came = self.came.requests;
-        self.came.scaled(came, came + self.refused)
+        let received = self.received.requests;
+        self.received.scaled(received, received + self.refused)
     }
 }
--- a/src/logic/direct/choose.rs
+++ b/src/logic/direct/choose.rs
@@ -42,7 +42,7 @@
 /// plain service, or a head of a group with the right model if the service has `groups`.
 fn can_serve(view: &EndpointView, flight: &InFlightRequest, groups: bool) -> bool {
     let model = flight.model.is_none() || view.entry.model == flight.model;
-    !groups || (view.heads() && model)
+    !groups || (view.is_open_head() && model)
 }
 
 fn best_endpoint(
@@ -56,15 +56,15 @@
     let engine = spec.and_then(|s| s.engine.as_ref());
     let mut found: Option<(u64, u64, InstanceId)> = None;
     let routers = state.peers.len() as u64 + 1;
-    let random = state.random(u64::MAX);
-    let params = &state.knobs;
+    let random = state.random_below(u64::MAX);
+    let params = &state.params;
     for (id, view) in &state.endpoints {
         if !allowed(&(id.clone(), view.epoch())) || !can_take(view, now, flight, engine.is_some()) {
             continue;
         }
         let has_room = |e: &EngineSpec| {
-            (!params.on(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
-                && (!params.on(Mechanism::ReadingBound)
+            (!params.is_enabled(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
+                && (!params.is_enabled(Mechanism::ReadingBound)
                     || limit::can_read(view, routers, flight, e, now))
         };
         if !engine.is_none_or(has_room) {
@@ -92,7 +92,7 @@
 fn can_take(view: &EndpointView, now: Millis, flight: &InFlightRequest, groups: bool) -> bool {
     let entry = &view.entry;
     let fits = entry.service == flight.service && !entry.leaving && view.listed;
-    let available = view.shunned <= now && view.silent.is_none();
+    let available = view.backoff_until <= now && view.silent_since.is_none();
     fits && available && rate_limit::can_send(view, now) && can_serve(view, flight, groups)
 }
 
@@ -108,7 +108,7 @@
         .as_ref()
         .and_then(|m| engine.model(m))
         .map_or(1_000, |m| m.pace);
-    let tokens = view.unread + u64::from(flight.prompt);
+    let tokens = view.unread_tokens + u64::from(flight.prompt_tokens);
     let read = tokens * 1_000_000 / engine.read_rate.max(1);
     let write = running * engine.step_us / 2;
     (read + write) * pace / 1_000
--- a/src/logic/direct/crashes/crash_state.rs
+++ b/src/logic/direct/crashes/crash_state.rs
@@ -18,9 +18,9 @@
     /// many times more.
     pub pending_reports: BTreeMap<Fingerprint, (Millis, u32)>,
     /// Writes to the key-value service.
-    pub keep: CrashStore,
+    pub store: CrashStore,
     /// Number of requests that were refused as blocked since the process started.
-    pub refused: u64,
+    pub refusals: u64,
 }
 
 /// State of the writes of blocked requests to the key-value service, from which routers that
--- a/src/logic/direct/crashes/crash_store.rs
+++ b/src/logic/direct/crashes/crash_store.rs
@@ -32,22 +32,22 @@
 /// Writes the records that are due, one call at a time, also while the router shuts down.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let table = &state.crashes.table;
-    let keep = &mut state.crashes.keep;
-    keep.queue.retain(|request, _| table.is_blocked(request));
-    if keep.call.is_some() || now < keep.next_at {
+    let store = &mut state.crashes.store;
+    store.queue.retain(|request, _| table.is_blocked(request));
+    if store.call.is_some() || now < store.next_at {
         return;
     }
-    let due = keep.queue.iter().find(|(_, from)| now >= **from);
-    keep.current = due.map(|(request, _)| *request);
-    let Some(request) = keep.current else {
+    let due = store.queue.iter().find(|(_, from)| now >= **from);
+    store.current = due.map(|(request, _)| *request);
+    let Some(request) = store.current else {
         return;
     };
-    let op = match keep.lease {
+    let op = match store.lease {
         None => StoreCall::Grant { ttl_s: LEASE_S },
         Some(lease) => swap_call(state, request, lease, out),
     };
-    let call = state.call(op, out);
-    state.crashes.keep.call = Some(call);
+    let call = state.call_store(op, out);
+    state.crashes.store.call = Some(call);
 }
 
 /// The call that writes the record of a request under a lease.
@@ -84,19 +84,19 @@
     now: Millis,
     result: &StoreResult,
 ) {
-    let keep = &mut state.crashes.keep;
-    keep.call = None;
+    let store = &mut state.crashes.store;
+    store.call = None;
     match result {
-        Ok(StoreReply::Lease { lease, ttl_s }) if *ttl_s > 0 => keep.lease = Some(*lease),
+        Ok(StoreReply::Lease { lease, ttl_s }) if *ttl_s > 0 => store.lease = Some(*lease),
         Ok(StoreReply::Swapped { done: true, .. }) => {
-            keep.lease = None;
-            if let Some(request) = keep.current.take() {
-                keep.queue.remove(&request);
+            store.lease = None;
+            if let Some(request) = store.current.take() {
+                store.queue.remove(&request);
             }
         }
         _ => {
-            keep.lease = None;
-            keep.next_at = now + RETRY_DELAY_MS;
+            store.lease = None;
+            store.next_at = now + RETRY_DELAY_MS;
         }
     }
 }
@@ -142,7 +142,7 @@
         Ok(report) => {
             share::merge_report(state, now, &report, out);
             // The record is stored already: this router needn't write it as well.
-            state.crashes.keep.queue.remove(&report.request);
+            state.crashes.store.queue.remove(&report.request);
         }
         Err(e) => out.push(invalid_record(key, &e.to_string())),
     }
@@ -161,9 +161,9 @@
     let blocked: Vec<_> = state.crashes.table.blocked().collect();
     let mut queue = BTreeMap::new();
     for request in blocked {
-        queue.insert(request, now + state.random(WRITE_SPREAD_MS));
+        queue.insert(request, now + state.random_below(WRITE_SPREAD_MS));
     }
-    state.crashes.keep = CrashStore {
+    state.crashes.store = CrashStore {
         queue,
         ..CrashStore::default()
     };
--- a/src/logic/direct/crashes/share.rs
+++ b/src/logic/direct/crashes/share.rs
@@ -88,9 +88,13 @@
         let delay = if combined {
             0
         } else {
-            WRITE_DELAY_MS + state.random(WRITE_DELAY_MS)
+            WRITE_DELAY_MS + state.random_below(WRITE_DELAY_MS)
         };
-        state.crashes.keep.queue.insert(report.request, now + delay);
+        state
+            .crashes
+            .store
+            .queue
+            .insert(report.request, now + delay);
         if combined {
             schedule_broadcast(state, now, report.request);
         }
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/suspect.rs
@@ -24,19 +24,19 @@
     id: u64,
     out: &mut Vec<Effect>,
 ) {
-    let Some(flight) = state.flights.get(&id) else {
+    let Some(flight) = state.in_flight.get(&id) else {
         return;
     };
-    let Some(run) = flight.run.as_ref().filter(|r| !r.moved) else {
+    let Some(run) = flight.run.as_ref().filter(|r| !r.has_event) else {
         return;
     };
-    let Some(view) = state.endpoints.get(&run.at) else {
+    let Some(view) = state.endpoints.get(&run.endpoint) else {
         return;
     };
     if state.crashes.served.contains(now, &flight.fingerprint) {
         return;
     }
-    let at = run.at.clone();
+    let at = run.endpoint.clone();
     let suspected = state
         .crashes
         .suspected_crashes
@@ -113,8 +113,8 @@
 fn has_ended(suspected: &SuspectedCrash, result: &ProbeResult) -> bool {
     match result {
         ProbeResult::Refused | ProbeResult::Replaced => true,
-        ProbeResult::Alive { born, .. } => {
-            let starts = suspected.born.zip(*born);
+        ProbeResult::Alive { started_ms, .. } => {
+            let starts = suspected.born.zip(*started_ms);
             starts.is_some_and(|(before, after)| after > before)
         }
         ProbeResult::Silent => false,
@@ -135,7 +135,7 @@
     }
     share::schedule_broadcast(state, now, request);
     if !blocked && state.crashes.table.is_blocked(&request) {
-        state.crashes.keep.queue.insert(request, now);
+        state.crashes.store.queue.insert(request, now);
         end_in_flight(state, request, out);
     }
 }
@@ -151,11 +151,11 @@
         .with("endpoints", ids.join(","));
     out.push(Effect::Log(event));
     let has_event =
-        |f: &crate::logic::direct::InFlightRequest| f.run.as_ref().is_some_and(|r| r.moved);
-    let in_flight = state.flights.iter();
+        |f: &crate::logic::direct::InFlightRequest| f.run.as_ref().is_some_and(|r| r.has_event);
+    let in_flight = state.in_flight.iter();
     let ended = in_flight.filter(|(_, f)| f.fingerprint == request && !has_event(f));
     for id in ended.map(|(id, _)| *id).collect::<Vec<_>>() {
-        state.crashes.refused += 1;
+        state.crashes.refusals += 1;
         finish::refuse_blocked(state, id, out);
     }
 }
@@ -183,7 +183,7 @@
     request: &Fingerprint,
 ) -> Option<(Problem, &'static str)> {
     if state.crashes.table.is_blocked(request) {
-        state.crashes.refused += 1;
+        state.crashes.refusals += 1;
         return Some((
             Problem::CrashesEndpoints,
             "endpoints crashed while running it",
@@ -191,8 +191,8 @@
     }
     let is_same = |f: &crate::logic::direct::InFlightRequest| f.fingerprint == *request;
     let risky = state.crashes.table.suspected(request) >= MIN_RISKY_CRASHES;
-    if risky && state.flights.values().any(is_same) {
-        let retry = Problem::NotRun(state.knobs.again_ms);
+    if risky && state.in_flight.values().any(is_same) {
+        let retry = Problem::NotRun(state.params.again_ms);
         return Some((
             retry,
             "already in flight, and endpoints crashed while running it",
--- a/src/logic/direct/demand.rs
+++ b/src/logic/direct/demand.rs
@@ -69,14 +69,14 @@
             for (model, arrivals) in models {
                 let sum = sums
                     .entry(model.clone())
-                    .or_insert_with(|| ModelArrivals::none(model));
+                    .or_insert_with(|| ModelArrivals::empty(model));
                 sum.add(arrivals);
             }
         }
         let span = now.saturating_sub(self.since.unwrap_or(now));
         let span = span.clamp(SLOT_MS, SLOTS * SLOT_MS);
         let per_second = |arrivals: ModelArrivals| arrivals.first_tries().scaled(1_000, span);
-        let asked = |arrivals: &ModelArrivals| arrivals.came.requests > 0;
+        let asked = |arrivals: &ModelArrivals| arrivals.received.requests > 0;
         sums.into_values().filter(asked).map(per_second).collect()
     }
 
@@ -93,7 +93,7 @@
         Some(
             models
                 .entry(model.clone())
-                .or_insert_with(|| ModelArrivals::none(model)),
+                .or_insert_with(|| ModelArrivals::empty(model)),
         )
     }
 
@@ -132,7 +132,7 @@
     let demand = &mut state.demand;
     demand.since.get_or_insert(now);
     if let Some(arrivals) = demand.slot(now, model) {
-        arrivals.came.add(&one);
+        arrivals.received.add(&one);
     }
 }
 
@@ -149,7 +149,7 @@
         return;
     }
     state.demand.report_at = now + REPORT_INTERVAL_MS;
-    let holder = state.plan.duty.holder.as_deref().map(InstanceId::new);
+    let holder = state.plan.lease.holder.as_deref().map(InstanceId::new);
     let to = holder.and_then(|root| tree::parent(state, &root));
     if let Some(to) = to {
         let (routers, models) = subtree_demand(state, now);
@@ -186,7 +186,7 @@
 /// Records that some router has callers, after which loads are no longer cheap. The message
 /// that tells the planner of the first caller may be lost, and doesn't reach a later planner.
 fn record_traffic(state: &mut DirectState, models: &[ModelDemand]) {
-    state.plan.traffic |= models.iter().any(|m| m.requests > 0);
+    state.plan.has_traffic |= models.iter().any(|m| m.requests > 0);
 }
 
 /// Number of routers in this router's subtree, itself included, and their demand a second.
--- a/src/logic/direct/digest_part.rs
+++ b/src/logic/direct/digest_part.rs
@@ -41,7 +41,7 @@
     /// Adds a batch of updates, as far as there is room.
     fn add(&mut self, batch: &UpdateBatch) {
         self.upto = self.upto.max(batch.after);
-        for update in &batch.news {
+        for update in &batch.updates {
             self.bytes += update.bytes();
             self.whole &= self.bytes <= MAX_UPDATE_BYTES;
             if self.whole {
--- a/src/logic/direct/digest_state.rs
+++ b/src/logic/direct/digest_state.rs
@@ -17,20 +17,20 @@
     /// Number of the last digest sent.
     pub number: u64,
     /// When the last digests were sent.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// Whether there are new updates since.
-    pub changed: bool,
+    pub has_changes: bool,
     /// Highest fence received.
     pub fence: u64,
     /// Number of the last digest received under that fence, by tree.
-    pub heard: [u64; super::tree::TREES as usize],
+    pub last_numbers: [u64; super::tree::TREES as usize],
     /// Number of the last digest that was applied.
-    pub taken: u64,
+    pub last_applied: u64,
     /// Position up to which every change that affects routing was read or received.
-    pub upto: StorePosition,
+    pub known_upto: StorePosition,
     /// Whether reading went on after changes known by digests only, which lack those that
     /// don't affect routing: the list has to be read in full before this router plans.
-    pub skipped: bool,
+    pub list_incomplete: bool,
     /// Until when digests make reading the list unnecessary.
     pub list_until: Millis,
     /// Until when they make reading the routing unnecessary.
@@ -38,5 +38,5 @@
     /// Pace of reading the list last sent to the host.
     pub pace: Option<ListPace>,
     /// Whether the host was last told not to read the routing.
-    pub hold: bool,
+    pub routing_held: bool,
 }
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -31,7 +31,7 @@
 /// Adds an endpoint update to those that have no store position yet.
 pub(super) fn add_update(state: &mut DirectState, update: EndpointUpdate) {
     // The entries of the first reading are no changes.
-    if state.listed_once {
+    if state.list_applied {
         state.digests.pending.push(update);
     }
 }
@@ -61,9 +61,9 @@
         at: now,
         before,
         after,
-        news: std::mem::take(&mut digests.pending),
+        updates: std::mem::take(&mut digests.pending),
     };
-    digests.changed |= !batch.news.is_empty();
+    digests.has_changes |= !batch.updates.is_empty();
     digests.recent.push_back(batch);
     let old = |b: &UpdateBatch| now > b.at + REPEAT_MS;
     while digests.recent.front().is_some_and(old) {
@@ -81,36 +81,36 @@
 ) {
     close_batch(state, now, before, at);
     let digests = &mut state.digests;
-    digests.list_at = state.drained_at;
-    if at < digests.upto {
-        digests.upto = StorePosition::default();
+    digests.list_at = state.previous_tick;
+    if at < digests.known_upto {
+        digests.known_upto = StorePosition::default();
         digests.list_until = 0;
     }
-    digests.upto = digests.upto.max(at);
+    digests.known_upto = digests.known_upto.max(at);
 }
 
 /// Sends digests, while this router is the planner, and the pace of reading to the host.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let is_planner = state.plan.duty.holds(now) && state.stopping.is_none();
+    let is_planner = state.plan.lease.holds(now) && state.stop_since.is_none();
     let digests = &state.digests;
-    let since = now.saturating_sub(digests.sent);
-    let due = since >= MAX_INTERVAL_MS || (digests.changed && since >= MIN_INTERVAL_MS);
-    if is_planner && due && state.knobs.on(Mechanism::Updates) && !state.peers.is_empty() {
+    let since = now.saturating_sub(digests.sent_at);
+    let due = since >= MAX_INTERVAL_MS || (digests.has_changes && since >= MIN_INTERVAL_MS);
+    if is_planner && due && state.params.is_enabled(Mechanism::Updates) && !state.peers.is_empty() {
         send_digests(state, now, out);
     }
     send_read_pace(state, now, out);
 }
 
 fn send_digests(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    state.digests.sent = now;
-    state.digests.changed = false;
+    state.digests.sent_at = now;
+    state.digests.has_changes = false;
     let (told, demand) = demand::known_demand(state, now);
     for part in split_into_parts(&state.digests.recent, state.listed_at) {
         state.digests.number += 1;
         let digests = &state.digests;
         let digest = Digest {
-            root: state.me.clone(),
-            fence: state.plan.duty.fence,
+            root: state.own_id.clone(),
+            fence: state.plan.lease.fence,
             number: digests.number,
             tree: 0,
             from: part.from,
@@ -153,7 +153,7 @@
     mut digest: Digest,
     out: &mut Vec<Effect>,
 ) {
-    let waited = now.saturating_sub(state.drained_at);
+    let waited = now.saturating_sub(state.previous_tick);
     digest.list_age += waited;
     digest.routing_age += waited;
     if Some(digest.upto.era) < state.store_era {
@@ -162,19 +162,20 @@
     }
     let known = &mut state.digests;
     let tree = usize::from(digest.tree);
-    if digest.root == state.me || digest.fence < known.fence || tree >= known.heard.len() {
+    if digest.root == state.own_id || digest.fence < known.fence || tree >= known.last_numbers.len()
+    {
         return;
     }
     if digest.fence > known.fence {
         known.fence = digest.fence;
-        known.heard = Default::default();
-        known.taken = 0;
+        known.last_numbers = Default::default();
+        known.last_applied = 0;
     }
-    if digest.number <= known.heard[tree] {
+    if digest.number <= known.last_numbers[tree] {
         return;
     }
-    known.heard[tree] = digest.number;
-    let new = digest.number > known.taken;
+    known.last_numbers[tree] = digest.number;
+    let new = digest.number > known.last_applied;
     forward(state, &digest, out);
     if new && state.listed {
         apply_digest(state, now, digest, out);
@@ -182,7 +183,7 @@
 }
 
 fn apply_digest(state: &mut DirectState, now: Millis, digest: Digest, out: &mut Vec<Effect>) {
-    state.digests.taken = digest.number;
+    state.digests.last_applied = digest.number;
     demand::on_fleet_demand(state, now, digest.told, digest.demand);
     if digest.upto.era != state.listed_at.era {
         // The store was restored from a backup. This router finds out by reading it.
@@ -190,14 +191,14 @@
         state.digests.routing_until = 0;
         return;
     }
-    let known = state.digests.upto;
+    let known = state.digests.known_upto;
     let mut whole = digest.whole && digest.from <= known;
     for (at, update) in digest.news {
         whole &= endpoints::on_endpoint_update(state, now, update, at > known, out);
     }
     if whole {
         close_batch(state, now, known, known.max(digest.upto));
-        state.digests.upto = known.max(digest.upto);
+        state.digests.known_upto = known.max(digest.upto);
         state.digests.list_until = (now + VALID_MS).saturating_sub(digest.list_age);
     }
     state.digests.routing_until = if routing_version(state) >= digest.routing {
@@ -210,8 +211,8 @@
 /// Sends the host the pace of reading the list, and whether the routing is read, if either has
 /// changed.
 fn send_read_pace(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let is_planner = state.plan.duty.fence > 0;
-    let pace = if is_planner || !state.knobs.on(Mechanism::Updates) {
+    let is_planner = state.plan.lease.fence > 0;
+    let pace = if is_planner || !state.params.is_enabled(Mechanism::Updates) {
         ListPace::Fast
     } else if now < state.digests.list_until {
         ListPace::Paused
@@ -219,15 +220,15 @@
         ListPace::Slow
     };
     let hold = !is_planner && now < state.digests.routing_until;
-    if state.digests.pace != Some(pace) || state.digests.hold != hold {
+    if state.digests.pace != Some(pace) || state.digests.routing_held != hold {
         if state.digests.pace == Some(ListPace::Paused) {
             // Digests lack changes that don't affect where requests go, such as the seats of
             // members other than heads and the models that hosts keep.
-            state.digests.skipped = true;
+            state.digests.list_incomplete = true;
         }
         state.digests.pace = Some(pace);
-        state.digests.hold = hold;
-        let upto = state.digests.upto;
+        state.digests.routing_held = hold;
+        let upto = state.digests.known_upto;
         out.push(Effect::Direct(DirectEffect::SetReadPace {
             list: pace,
             hold,
--- a/src/logic/direct/direct_params.rs
+++ b/src/logic/direct/direct_params.rs
@@ -9,13 +9,13 @@
     /// Shortest length of the planner lease; it is longer for large fleets.
     pub lease_ms: Millis,
     /// Shortest time between two planning passes; it is longer for large fleets.
-    pub plan_ms: Millis,
+    pub planning_ms: Millis,
     /// Shortest silence after which a head that has work counts as silent.
     pub silence_ms: Millis,
     /// Longest backoff from an endpoint after failures in a row; the first is a quarter of it.
-    pub shun_ms: Millis,
+    pub backoff_ms: Millis,
     /// Time after which an order that had no effect is sent again.
-    pub order_ms: Millis,
+    pub reorder_ms: Millis,
     /// Time that a group makes no progress before it counts as broken.
     pub stall_ms: Millis,
     /// Retries per thousand requests.
@@ -29,13 +29,13 @@
     /// Usual shortest time after which a refused caller is told to come back.
     pub again_ms: Millis,
     /// Mechanisms that are switched off, to measure their effect.
-    pub off: BTreeSet<Mechanism>,
+    pub disabled: BTreeSet<Mechanism>,
 }
 
 impl DirectParams {
     /// Whether a mechanism is switched on.
-    pub(crate) fn on(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
 
@@ -43,17 +43,17 @@
     fn default() -> Self {
         Self {
             lease_ms: 1_000,
-            plan_ms: 50,
+            planning_ms: 50,
             silence_ms: 240,
-            shun_ms: 1_000,
-            order_ms: 700,
+            backoff_ms: 1_000,
+            reorder_ms: 700,
             stall_ms: 4_000,
             retry_ratio: 200,
             retry_extra: 160_000,
             retry_window: 10_000,
             grace_ms: 8_000,
             again_ms: 400,
-            off: BTreeSet::new(),
+            disabled: BTreeSet::new(),
         }
     }
 }
--- a/src/logic/direct/direct_request.rs
+++ b/src/logic/direct/direct_request.rs
@@ -11,7 +11,7 @@
     /// Request id from the caller, for logs.
     pub label: String,
     /// Fingerprint of the request without its client account.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Requested host.
     pub host: String,
     /// Requested path.
@@ -23,9 +23,9 @@
     /// Requested model.
     pub model: Option<Arc<str>>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Estimated tokens of the answer; 0 if unknown.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// Id of the last stream event that the caller already has.
     pub last_event: Option<u64>,
 }
--- a/src/logic/direct/direct_state.rs
+++ b/src/logic/direct/direct_state.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DirectState {
     /// Parameters of its decisions.
-    pub knobs: DirectParams,
+    pub params: DirectParams,
     /// This router's instance.
-    pub me: InstanceId,
+    pub own_id: InstanceId,
     /// When this process handled its first event.
     pub started: Option<Millis>,
     /// Address at which other routers reach this one.
-    pub addr: Option<SocketAddr>,
+    pub own_addr: Option<SocketAddr>,
     /// This router's data hall.
     pub hall: Arc<str>,
     /// State of the random number generator.
@@ -31,7 +31,7 @@
     /// When the last tick came.
     pub ticked_at: Millis,
     /// When the tick before it came: everything sent to this process by then has been handled.
-    pub drained_at: Millis,
+    pub previous_tick: Millis,
     /// Reading of the routing that requests wait for after a pause of the process.
     pub pause: RoutingRecheck,
     /// Routing in force.
@@ -39,7 +39,7 @@
     /// Whether a complete reading of the endpoint list has arrived.
     pub listed: bool,
     /// Whether the first complete reading has been applied: later changes are updates.
-    pub listed_once: bool,
+    pub list_applied: bool,
     /// How often the store was restored from a backup; none before its first answer.
     pub store_era: Option<u64>,
     /// Position of the store up to which the list is known.
@@ -49,17 +49,17 @@
     /// Endpoints by id.
     pub endpoints: BTreeMap<InstanceId, EndpointView>,
     /// In-flight requests: those without a final answer.
-    pub flights: BTreeMap<u64, InFlightRequest>,
+    pub in_flight: BTreeMap<u64, InFlightRequest>,
     /// Wait queues of requests for an endpoint.
-    pub lines: BTreeMap<QueueKey, WaitQueue>,
+    pub queues: BTreeMap<QueueKey, WaitQueue>,
     /// Requests held until the routing and the list are known, with their arrival.
-    pub early: Vec<(Millis, DirectRequest)>,
+    pub held_requests: Vec<(Millis, DirectRequest)>,
     /// Demand of callers.
     pub demand: Demand,
     /// Requests by the number of their run.
     pub runs: BTreeMap<u64, u64>,
     /// Last number given to a run, an order, a call or a probe request.
-    pub next: u64,
+    pub last_number: u64,
     /// Retries and requests by service.
     pub retries: BTreeMap<Arc<str>, RetryWindow>,
     /// Retries that the retry budget allowed, since this process started.
@@ -67,74 +67,77 @@
     /// Retries that it didn't allow, since this process started.
     pub retries_unpaid: u64,
     /// State of this router's address in the key-value service.
-    pub presence: Registration,
+    pub registration: Registration,
     /// Addresses of the other routers.
     pub peers: BTreeMap<InstanceId, SocketAddr>,
     /// From when this router sends retries; never before the other routers are known.
     pub retries_from: Option<Millis>,
     /// Most routers known at a time within the retry window, this one included.
-    pub routers: RecentPeak,
+    pub router_peak: RecentPeak,
     /// Probe requests of other routers that await a reply, by endpoint.
-    pub asked: BTreeMap<InstanceId, Vec<ObservationRequest>>,
+    pub observation_requests: BTreeMap<InstanceId, Vec<ObservationRequest>>,
     /// State of the detection of requests that crash endpoints.
     pub crashes: CrashState,
     /// State of the planner, its lease included.
     pub plan: PlanState,
     /// Readiness last reported to the balancer.
-    pub ready: bool,
+    pub reported_ready: bool,
     /// When this process was told to shut down.
-    pub stopping: Option<Millis>,
+    pub stop_since: Option<Millis>,
     /// Stage of the shutdown.
-    pub ending: ShutdownStage,
+    pub shutdown: ShutdownStage,
 }
 
 impl DirectState {
     /// Initial state of a router.
-    pub fn new(me: InstanceId, hall: &str, seed: u64, knobs: DirectParams) -> Self {
+    pub fn new(own_id: InstanceId, hall: &str, seed: u64, params: DirectParams) -> Self {
         Self {
-            knobs,
-            me,
+            params,
+            own_id,
             started: None,
             ticked_at: 0,
-            drained_at: 0,
-            addr: None,
+            previous_tick: 0,
+            own_addr: None,
             hall: Arc::from(hall),
             seed,
             pause: RoutingRecheck::default(),
             routing: None,
             listed: false,
-            listed_once: false,
+            list_applied: false,
             store_era: None,
             listed_at: StorePosition::default(),
             digests: DigestState::default(),
             endpoints: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            early: Vec::new(),
+            in_flight: BTreeMap::new(),
+            queues: BTreeMap::new(),
+            held_requests: Vec::new(),
             demand: Demand::default(),
             runs: BTreeMap::new(),
-            next: 1,
+            last_number: 1,
             retries: BTreeMap::new(),
             retries_paid: 0,
             retries_unpaid: 0,
-            presence: Registration::default(),
+            registration: Registration::default(),
             peers: BTreeMap::new(),
             retries_from: None,
-            routers: RecentPeak::default(),
-            asked: BTreeMap::new(),
+            router_peak: RecentPeak::default(),
+            observation_requests: BTreeMap::new(),
             crashes: CrashState::default(),
             plan: PlanState::default(),
-            ready: false,
-            stopping: None,
-            ending: ShutdownStage::default(),
+            reported_ready: false,
+            stop_since: None,
+            shutdown: ShutdownStage::default(),
         }
     }
 
     /// Metrics of this router by name, for its metrics address.
-    pub fn figures(&self, now: Millis) -> Vec<(&'static str, u64)> {
+    pub fn metrics(&self, now: Millis) -> Vec<(&'static str, u64)> {
         let listed = self.endpoints.values().filter(|v| v.listed);
-        let silent = self.endpoints.values().filter(|v| v.silent.is_some());
-        let heads = self.endpoints.values().filter(|v| v.listed && v.heads());
+        let silent = self.endpoints.values().filter(|v| v.silent_since.is_some());
+        let heads = self
+            .endpoints
+            .values()
+            .filter(|v| v.listed && v.is_open_head());
         vec![
             ("endpoints", listed.count() as u64),
             ("endpoints_silent", silent.count() as u64),
@@ -142,7 +145,7 @@
             ("groups_forming", self.plan.forming.len() as u64),
             ("groups_ending", self.plan.ending.len() as u64),
             ("loads_under_way", self.plan.staging.len() as u64),
-            ("requests_in_flight", self.flights.len() as u64),
+            ("requests_in_flight", self.in_flight.len() as u64),
             ("requests_waiting", self.waiting() as u64),
             ("routers_known", self.peers.len() as u64 + 1),
             (
@@ -156,7 +159,7 @@
             ("idle_loads", self.idle(IdleReason::Loads)),
             ("idle_empty", self.idle(IdleReason::Empty)),
             ("idle_waits", self.idle(IdleReason::Waits)),
-            ("plans", u64::from(self.plan.duty.holds(now))),
+            ("plans", u64::from(self.plan.lease.holds(now))),
             ("store_era", self.store_era.unwrap_or(0)),
             ("retries_paid", self.retries_paid),
             ("retries_unpaid", self.retries_unpaid),
@@ -165,15 +168,15 @@
                 "requests_blocked",
                 self.crashes.table.blocked().count() as u64,
             ),
-            ("blocked_refused", self.crashes.refused),
+            ("blocked_refused", self.crashes.refusals),
             ("age_ms", self.age(now)),
         ]
     }
 
     /// Number of requests in wait queues or held until the routing is known.
     fn waiting(&self) -> usize {
-        let lines = self.lines.values().map(|l| l.waiting.len());
-        lines.sum::<usize>() + self.early.len()
+        let queues = self.queues.values().map(|l| l.waiting.len());
+        queues.sum::<usize>() + self.held_requests.len()
     }
 
     /// Number of endpoints that serve in no group for a reason; 0 while this router doesn't plan.
@@ -188,7 +191,7 @@
     }
 
     /// A random number below `bound`; 0 for a bound of 0.
-    pub(super) fn random(&mut self, bound: u64) -> u64 {
+    pub(super) fn random_below(&mut self, bound: u64) -> u64 {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         let value = rng.u64(..);
         self.seed = rng.get_seed();
@@ -196,14 +199,14 @@
     }
 
     /// The next number for a run, an order, a call or a probe request.
-    pub(super) fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Sends a call to the key-value service and returns its number.
-    pub(super) fn call(&mut self, op: StoreCall, out: &mut Vec<Effect>) -> CallId {
-        let call = self.number();
+    pub(super) fn call_store(&mut self, op: StoreCall, out: &mut Vec<Effect>) -> CallId {
+        let call = self.next_number();
         out.push(Effect::Store { call, op });
         call
     }
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -36,8 +36,11 @@
     for (id, entry) in entries {
         on_entry_change(state, now, id, Some(entry), out);
     }
-    state.listed_once = true;
-    let heads = state.endpoints.values().filter(|v| v.listed && v.heads());
+    state.list_applied = true;
+    let heads = state
+        .endpoints
+        .values()
+        .filter(|v| v.listed && v.is_open_head());
     let event = LogEvent::new(LogCode::ListRead)
         .with("revision", state.listed_at.revision)
         .with("era", state.listed_at.era)
@@ -57,7 +60,7 @@
     let Some(entry) = entry else {
         if let Some(view) = state.endpoints.get_mut(&id).filter(|v| v.listed) {
             view.listed = false;
-            view.beat_at = now;
+            view.heartbeat_at = now;
             out.push(Effect::Log(
                 LogEvent::new(LogCode::EndpointUnlisted).with("endpoint", &id),
             ));
@@ -76,7 +79,7 @@
     let entry = plan::apply_known_seat(state, &id, entry);
     let Some(view) = state.endpoints.get_mut(&id) else {
         // The first reading is logged as a whole, not endpoint by endpoint.
-        if state.listed_once {
+        if state.list_applied {
             let event = LogEvent::new(LogCode::EndpointListed)
                 .with("endpoint", &id)
                 .with("domain", &entry.domain)
@@ -85,7 +88,7 @@
         }
         digests::add_update(state, EndpointUpdate::Listed(id.clone(), entry.clone()));
         let view = EndpointView {
-            new: state.listed_once,
+            seen_start: state.list_applied,
             ..EndpointView::new(entry, now)
         };
         state.endpoints.insert(id, view);
@@ -102,22 +105,22 @@
         ));
     }
     if entry.beats != view.entry.beats {
-        view.beat_at = now;
+        view.heartbeat_at = now;
     }
     let group = |e: &EndpointEntry| e.seat.as_ref().map(|s| s.epoch);
     if group(&view.entry) != group(&entry) {
         // What was learnt about it in its former group doesn't apply to another group.
         view.limit = 0;
-        view.quick = 0;
-        view.silent = None;
-        view.heard = now;
-        view.pause = 0;
-        view.shunned = 0;
+        view.quickest_start = 0;
+        view.silent_since = None;
+        view.active_at = now;
+        view.longest_pause = 0;
+        view.backoff_until = 0;
         view.failures = 0;
-        view.broke = 0;
+        view.broken_at = 0;
     }
     view.listed = true;
-    view.last = entry.model.clone().or_else(|| view.last.take());
+    view.last_model = entry.model.clone().or_else(|| view.last_model.take());
     view.entry = entry;
     if let Some(update) = update {
         digests::add_update(state, update);
@@ -153,9 +156,9 @@
     let before = std::mem::replace(
         view,
         EndpointView {
-            new: state.listed_once,
+            seen_start: state.list_applied,
             running: view.running,
-            unread: view.unread,
+            unread_tokens: view.unread_tokens,
             ..EndpointView::new(entry.clone(), now)
         },
     );
@@ -172,14 +175,17 @@
     result: &ProbeResult,
     out: &mut Vec<Effect>,
 ) {
-    let ProbeResult::Alive { born, seat, .. } = result else {
+    let ProbeResult::Alive {
+        started_ms, seat, ..
+    } = result
+    else {
         return;
     };
     let Some(view) = state.endpoints.get(id).filter(|v| v.listed) else {
         return;
     };
     let entry = EndpointEntry {
-        born: *born,
+        born: *started_ms,
         beats: 0,
         leaving: false,
         model: None,
@@ -257,18 +263,18 @@
 pub(super) fn on_tick(state: &mut DirectState, now: Millis) {
     state
         .endpoints
-        .retain(|_, v| v.listed || v.running > 0 || now < v.beat_at + UNLISTED_KEPT_MS);
+        .retain(|_, v| v.listed || v.running > 0 || now < v.heartbeat_at + UNLISTED_KEPT_MS);
 }
 
 /// The endpoint at which a request runs.
 fn run_endpoint_mut(state: &mut DirectState, request: u64) -> Option<&mut EndpointView> {
-    let run = state.flights.get(&request)?.run.as_ref()?;
-    state.endpoints.get_mut(&run.at)
+    let run = state.in_flight.get(&request)?.run.as_ref()?;
+    state.endpoints.get_mut(&run.endpoint)
 }
 
 fn run_endpoint_id(state: &DirectState, request: u64) -> Option<InstanceId> {
-    let run = state.flights.get(&request)?.run.as_ref()?;
-    Some(run.at.clone())
+    let run = state.in_flight.get(&request)?.run.as_ref()?;
+    Some(run.endpoint.clone())
 }
 
 /// Handles a part of the answer to a request's run. `has_output` is false if the part says
@@ -277,13 +283,13 @@
     let Some(view) = run_endpoint_mut(state, request).filter(|_| has_output) else {
         return;
     };
-    let pause = now.saturating_sub(view.heard);
+    let pause = now.saturating_sub(view.active_at);
     if pause >= MIN_PASS_GAP_MS {
-        view.pause = pause.max(view.pause - view.pause / 16);
+        view.longest_pause = pause.max(view.longest_pause - view.longest_pause / 16);
     }
-    view.heard = now;
-    view.spoke = now;
-    view.silent = None;
+    view.active_at = now;
+    view.responded_at = now;
+    view.silent_since = None;
 }
 
 /// Time after a broken run within which a refused connection means that the endpoint is gone.
@@ -293,7 +299,7 @@
 /// The answer to a request's run broke off, or there was none.
 pub(super) fn on_run_broken(state: &mut DirectState, now: Millis, request: u64) {
     if let Some(view) = run_endpoint_mut(state, request) {
-        view.broke = now;
+        view.broken_at = now;
     }
 }
 
@@ -307,9 +313,9 @@
     since: Millis,
 ) -> Observation {
     let view = state.endpoints.get(id);
-    let has_answered = view.is_some_and(|v| v.spoke > since);
+    let has_answered = view.is_some_and(|v| v.responded_at > since);
     let has_runs = view.is_some_and(|v| v.running > 0);
-    let run_broke = view.is_some_and(|v| v.broke > 0 && now < v.broke + BROKEN_RUN_MS);
+    let run_broke = view.is_some_and(|v| v.broken_at > 0 && now < v.broken_at + BROKEN_RUN_MS);
     match result {
         ProbeResult::Replaced => Observation::Gone,
         ProbeResult::Alive { .. } => Observation::Alive,
@@ -323,27 +329,27 @@
 
 /// The endpoint has begun to answer, so it has read the prompt.
 pub(super) fn on_answer_begun(state: &mut DirectState, request: u64) {
-    let Some(flight) = state.flights.get_mut(&request) else {
+    let Some(flight) = state.in_flight.get_mut(&request) else {
         return;
     };
-    let prompt = u64::from(flight.prompt);
+    let prompt = u64::from(flight.prompt_tokens);
     let Some(run) = flight.run.as_mut().filter(|r| !r.begun) else {
         return;
     };
     run.begun = true;
-    if let Some(view) = state.endpoints.get_mut(&run.at) {
-        view.unread = view.unread.saturating_sub(prompt);
+    if let Some(view) = state.endpoints.get_mut(&run.endpoint) {
+        view.unread_tokens = view.unread_tokens.saturating_sub(prompt);
     }
 }
 
 /// Releases the run of a request, however it ended.
 pub(super) fn release_run(state: &mut DirectState, request: u64) {
     on_answer_begun(state, request);
-    let Some(run) = state.flights.get_mut(&request).and_then(|f| f.run.take()) else {
+    let Some(run) = state.in_flight.get_mut(&request).and_then(|f| f.run.take()) else {
         return;
     };
     state.runs.remove(&run.id);
-    if let Some(view) = state.endpoints.get_mut(&run.at) {
+    if let Some(view) = state.endpoints.get_mut(&run.endpoint) {
         view.running = view.running.saturating_sub(1);
     }
 }
@@ -359,7 +365,7 @@
 /// `FULL_BACKOFF_MS`, and its limit is lowered unless that was done just before.
 pub(super) fn on_overload(state: &mut DirectState, now: Millis, request: u64) {
     if let Some(view) = run_endpoint_mut(state, request) {
-        view.shunned = view.shunned.max(now + FULL_BACKOFF_MS);
+        view.backoff_until = view.backoff_until.max(now + FULL_BACKOFF_MS);
     }
     if let Some(at) = run_endpoint_id(state, request) {
         limit::on_full(state, now, &at);
@@ -367,8 +373,8 @@
 }
 
 /// A run at the endpoint has failed: the router backs off from it, at first for a quarter of
-/// `shun_ms` and for longer with each failure in a row. A refused connection gets half of
-/// `shun_ms` however many failures came before, and counts as silence.
+/// `backoff_ms` and for longer with each failure in a row. A refused connection gets half of
+/// `backoff_ms` however many failures came before, and counts as silence.
 pub(super) fn on_run_failure(
     state: &mut DirectState,
     now: Millis,
@@ -376,7 +382,7 @@
     refused: bool,
     out: &mut Vec<Effect>,
 ) {
-    let base_ms = state.knobs.shun_ms;
+    let base_ms = state.params.backoff_ms;
     let Some(view) = run_endpoint_mut(state, request) else {
         return;
     };
@@ -387,15 +393,15 @@
         view.failures.min(MAX_BACKOFF_FAILURES) - 1
     };
     let backoff_ms = (base_ms / 4) << doublings;
-    view.shunned = view.shunned.max(now + backoff_ms);
+    view.backoff_until = view.backoff_until.max(now + backoff_ms);
     if refused {
-        view.silent.get_or_insert(now);
+        view.silent_since.get_or_insert(now);
     }
     let failures = view.failures;
-    let at = state.flights.get(&request).and_then(|f| f.run.as_ref());
+    let at = state.in_flight.get(&request).and_then(|f| f.run.as_ref());
     if let Some(run) = at {
         let event = LogEvent::new(LogCode::EndpointFailed)
-            .with("endpoint", &run.at)
+            .with("endpoint", &run.endpoint)
             .with("refused", refused)
             .with("failures", failures)
             .with("left_alone", backoff_ms);
--- a/src/logic/direct/fingerprint.rs
+++ b/src/logic/direct/fingerprint.rs
@@ -31,7 +31,7 @@
     }
 
     /// Fingerprint of the same request sent by a client account.
-    pub fn by(&self, account: Option<&str>) -> Self {
+    pub fn for_account(&self, account: Option<&str>) -> Self {
         match account {
             Some(account) => Self::of(&[&self.0, account.as_bytes()]),
             None => *self,
--- a/src/logic/direct/finish.rs
+++ b/src/logic/direct/finish.rs
@@ -18,7 +18,7 @@
 ) {
     endpoints::on_served(state, id);
     endpoints::release_run(state, id);
-    let Some(flight) = state.flights.remove(&id) else {
+    let Some(flight) = state.in_flight.remove(&id) else {
         return;
     };
     crashes::on_answered(state, now, flight.fingerprint, out);
@@ -71,7 +71,7 @@
 /// Without that time callers return at once, often to another router that has just
 /// started, and use up their tries.
 pub(super) fn not_yet_problem(state: &mut DirectState, left: Option<Millis>) -> Problem {
-    let jitter = state.random(JITTER_STEPS);
+    let jitter = state.random_below(JITTER_STEPS);
     let max = left.map_or(STARTUP_MS, |left| {
         STARTUP_MS.min(left / RETRY_AFTER_DIVISOR)
     });
@@ -86,15 +86,15 @@
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
-    let jitter = state.random(JITTER_STEPS);
-    let Some(flight) = state.flights.get(&id) else {
+    let jitter = state.random_below(JITTER_STEPS);
+    let Some(flight) = state.in_flight.get(&id) else {
         return;
     };
     let may_return = flight.has_not_run() && !flight.head_sent;
     let model = flight.model.clone().filter(|_| may_return);
     let problem = if flight.has_not_run() {
         let max = flight.deadline.saturating_sub(now) / RETRY_AFTER_DIVISOR;
-        let min = state.knobs.again_ms.min(max);
+        let min = state.params.again_ms.min(max);
         Problem::NotRun(min + (max - min) * (JITTER_STEPS + jitter) / (2 * JITTER_STEPS))
     } else {
         Problem::Unknown
@@ -108,7 +108,7 @@
 /// Ends a request whose deadline has passed, or is so close that it is given up.
 pub(super) fn time_out(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
     let why = "its deadline has passed";
-    match state.flights.get(&id) {
+    match state.in_flight.get(&id) {
         Some(f) if f.has_not_run() && !f.head_sent => give_up(state, now, id, why, out),
         _ => finish(state, id, Problem::TimedOut, why, out),
     }
@@ -129,7 +129,7 @@
 ) {
     cancel(state, id, out);
     queue::remove(state, id);
-    let Some(flight) = state.flights.remove(&id) else {
+    let Some(flight) = state.in_flight.remove(&id) else {
         return;
     };
     let metric = match problem {
@@ -155,7 +155,7 @@
         .with("sends", flight.tried.len())
         .with("runs", flight.runs)
         .with("fingerprint", flight.fingerprint)
-        .with("turn", format!("{:?}", flight.turn));
+        .with("turn", format!("{:?}", flight.precedence));
     out.push(Effect::Log(event));
     out.push(Effect::Direct(DirectEffect::Refuse {
         request: id,
@@ -183,8 +183,8 @@
 pub(super) fn on_caller_gone(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
     cancel(state, id, out);
     queue::remove(state, id);
-    state.early.retain(|(_, request)| request.id != id);
-    if let Some(flight) = state.flights.remove(&id) {
+    state.held_requests.retain(|(_, request)| request.id != id);
+    if let Some(flight) = state.in_flight.remove(&id) {
         let event = LogEvent::new(LogCode::CallerLeft).with("request", &flight.label);
         out.push(Effect::Log(event));
     }
@@ -192,7 +192,7 @@
 
 /// Cancels the request's current run, if any.
 pub(super) fn cancel(state: &mut DirectState, id: u64, out: &mut Vec<Effect>) {
-    let run = state.flights.get(&id).and_then(|f| f.run.as_ref());
+    let run = state.in_flight.get(&id).and_then(|f| f.run.as_ref());
     if let Some(run) = run.map(|r| r.id) {
         endpoints::release_run(state, id);
         out.push(Effect::Direct(DirectEffect::Cancel(run)));
@@ -207,7 +207,7 @@
         left(f) == 0 || (left(f) <= UNSENT_MARGIN_MS && !begun(f) && f.has_not_run())
     };
     let over: Vec<u64> = state
-        .flights
+        .in_flight
         .iter()
         .filter(|(_, f)| late(f))
         .map(|(id, _)| *id)
--- a/src/logic/direct/flight.rs
+++ b/src/logic/direct/flight.rs
@@ -21,15 +21,15 @@
     /// Requested model.
     pub model: Option<Arc<str>>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Estimated tokens of the answer.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// Client account.
     pub account: Option<Arc<str>>,
     /// Priority; 0 is served first.
     pub priority: u8,
     /// Its precedence over other requests that wait.
-    pub turn: Precedence,
+    pub precedence: Precedence,
     /// Time until which it may wait for an endpoint.
     pub wait_until: Millis,
     /// Time of its arrival.
@@ -66,7 +66,7 @@
     /// objective.
     pub(super) fn is_late(&self, now: Millis) -> bool {
         let allowed = self.route.target_ms / LATE_DIVISOR;
-        self.turn == Precedence::Fresh && now >= self.arrived + allowed
+        self.precedence == Precedence::Fresh && now >= self.arrived + allowed
     }
 }
 
@@ -76,13 +76,13 @@
     /// Number of the run.
     pub id: u64,
     /// The endpoint.
-    pub at: InstanceId,
+    pub endpoint: InstanceId,
     /// Epoch of the endpoint's group when it was sent; 0 for a plain service.
     pub epoch: u64,
     /// Time at which it was sent.
-    pub since: Millis,
+    pub sent_at: Millis,
     /// Whether the endpoint has begun to answer.
     pub begun: bool,
     /// Whether a stream event has arrived.
-    pub moved: bool,
+    pub has_event: bool,
 }
--- a/src/logic/direct/limit.rs
+++ b/src/logic/direct/limit.rs
@@ -73,7 +73,7 @@
     } else {
         max_tokens
     };
-    view.unread == 0 || view.unread + u64::from(flight.prompt) <= max_tokens
+    view.unread_tokens == 0 || view.unread_tokens + u64::from(flight.prompt_tokens) <= max_tokens
 }
 
 /// Whether an endpoint has room for one more run of this router.
@@ -84,7 +84,7 @@
     now: Millis,
 ) -> bool {
     let limit = current_limit(view, routers);
-    let limit = match flight.turn {
+    let limit = match flight.precedence {
         Precedence::Resumed => limit * RESUMED_LIMIT_PERCENT / 100,
         Precedence::Fresh if flight.is_late(now) => limit * LATE_LIMIT_PERCENT / 100,
         Precedence::Fresh => limit,
@@ -124,13 +124,14 @@
     };
     let limit = current_limit(view, routers);
     let max = u64::from(view.entry.slots.max(1)) * RUN_PER_MILLE;
-    let grown = view.quick + view.quick / QUICKEST_GROWTH_DIVISOR + 1;
-    view.quick = if view.quick == 0 {
+    let grown = view.quickest_start + view.quickest_start / QUICKEST_GROWTH_DIVISOR + 1;
+    view.quickest_start = if view.quickest_start == 0 {
         took
     } else {
         took.min(grown)
     };
-    let well_in_time = view.quick + target.saturating_sub(view.quick) / WELL_IN_TIME_DIVISOR;
+    let well_in_time =
+        view.quickest_start + target.saturating_sub(view.quickest_start) / WELL_IN_TIME_DIVISOR;
     if took > target {
         lower(view, now, limit, LATE_PERCENT, min_limit(view, routers));
     } else if took <= well_in_time {
@@ -150,8 +151,8 @@
 }
 
 fn lower(view: &mut EndpointView, now: Millis, limit: u64, percent: u64, min: u64) {
-    if now >= view.lowered + LOWER_INTERVAL_MS {
-        view.lowered = now;
+    if now >= view.lowered_at + LOWER_INTERVAL_MS {
+        view.lowered_at = now;
         view.limit = (limit * percent / 100).max(min);
     }
 }
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -50,11 +50,11 @@
 /// Writes the own address and renews its lease.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     record_routers(state, now);
-    let registration = &state.presence;
-    let (Some(addr), None) = (state.addr, registration.call) else {
+    let registration = &state.registration;
+    let (Some(addr), None) = (state.own_addr, registration.call) else {
         return;
     };
-    if now < registration.next_at || state.stopping.is_some() {
+    if now < registration.next_at || state.stop_since.is_some() {
         return;
     }
     let op = match (registration.lease, registration.written) {
@@ -62,7 +62,7 @@
         (Some(lease), false) => StoreCall::Swap {
             checks: Vec::new(),
             puts: vec![Put {
-                key: format!("{ROUTER_PREFIX}{}", state.me),
+                key: format!("{ROUTER_PREFIX}{}", state.own_id),
                 value: addr.to_string(),
                 lease: Some(lease),
             }],
@@ -71,13 +71,13 @@
         },
         (Some(lease), true) => StoreCall::Renew { lease },
     };
-    let call = state.call(op, out);
-    state.presence.call = Some(call);
+    let call = state.call_store(op, out);
+    state.registration.call = Some(call);
 }
 
 /// Handles the store's reply to a call about the own address.
 pub(super) fn on_store_reply(state: &mut DirectState, now: Millis, result: &StoreResult) {
-    let registration = &mut state.presence;
+    let registration = &mut state.registration;
     registration.call = None;
     match result {
         Ok(StoreReply::Lease { ttl_s: 0, .. }) => *registration = Registration::default(),
@@ -118,18 +118,18 @@
 /// Records how many routers are known, this one included.
 pub(super) fn record_routers(state: &mut DirectState, now: Millis) {
     let routers = state.peers.len() as u64 + 1;
-    let window = state.knobs.retry_window;
-    state.routers.record(now, window, routers);
+    let window = state.params.retry_window;
+    state.router_peak.record(now, window, routers);
 }
 
 /// Time from the first reading of the routers until this one sends retries. Before a restart
 /// this process may have used up the budget of a whole window, which isn't the case at the
 /// first start of the system.
 fn retry_delay_ms(state: &DirectState) -> Millis {
-    if state.plan.first {
+    if state.plan.first_start {
         DISCOVERY_MS
     } else {
-        state.knobs.retry_window
+        state.params.retry_window
     }
 }
 
@@ -145,7 +145,7 @@
         return;
     };
     let addr = value.and_then(|v| v.parse().ok());
-    match addr.filter(|_| id != state.me) {
+    match addr.filter(|_| id != state.own_id) {
         Some(addr) => state.peers.insert(id, addr),
         None => state.peers.remove(&id),
     };
@@ -163,7 +163,7 @@
     };
     let mut numbers = Vec::new();
     for to in pick_peers(state, most) {
-        let number = state.number();
+        let number = state.next_number();
         let message = PeerMessage::Ask {
             number,
             id: id.clone(),
@@ -192,7 +192,7 @@
     let mut peers: Vec<SocketAddr> = state.peers.values().copied().collect();
     let mut drawn = Vec::new();
     while !peers.is_empty() && drawn.len() < most {
-        let at = state.random(peers.len() as u64) as usize;
+        let at = state.random_below(peers.len() as u64) as usize;
         drawn.push(peers.swap_remove(at));
     }
     drawn
@@ -213,7 +213,11 @@
                 number,
                 at: now,
             };
-            state.asked.entry(id.clone()).or_default().push(asked);
+            state
+                .observation_requests
+                .entry(id.clone())
+                .or_default()
+                .push(asked);
             out.push(Effect::Direct(DirectEffect::Probe { id, addr }));
         }
         PeerMessage::Digest(digest) => digests::on_digest(state, now, *digest, out),
@@ -221,7 +225,7 @@
             demand::on_report(state, now, from, routers, models);
         }
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::RetryStore)),
-        PeerMessage::Traffic => state.plan.traffic = true,
+        PeerMessage::Traffic => state.plan.has_traffic = true,
         PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rate_limit::on_peer_rate(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::on_crash_reports(state, now, &reports, out),
@@ -241,7 +245,7 @@
 
 /// Sends a message to the planner, if that is another router whose address is known.
 fn notify_planner(state: &DirectState, message: PeerMessage, out: &mut Vec<Effect>) {
-    let holder = state.plan.duty.holder.as_deref().map(InstanceId::new);
+    let holder = state.plan.lease.holder.as_deref().map(InstanceId::new);
     if let Some(to) = holder.and_then(|h| state.peers.get(&h)).copied() {
         out.push(Effect::Direct(DirectEffect::SendMessage { to, message }));
     }
@@ -255,7 +259,7 @@
     result: &ProbeResult,
     out: &mut Vec<Effect>,
 ) {
-    for asked in state.asked.remove(id).unwrap_or_default() {
+    for asked in state.observation_requests.remove(id).unwrap_or_default() {
         let message = PeerMessage::Seen {
             number: asked.number,
             sight: endpoints::observation(state, now, id, result, asked.at),
--- a/src/logic/direct/plan/planner_lease.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -28,7 +28,7 @@
 
 fn jitter_ms(state: &mut DirectState) -> Millis {
     let most = MAX_JITTER_MS + MAX_JITTER_PER_ROUTER_MS * state.peers.len() as u64;
-    state.random(most)
+    state.random_below(most)
 }
 
 /// State of the planner lease as this router knows it.
@@ -41,23 +41,23 @@
     /// Revision of the key; 0 if it doesn't exist.
     pub revision: i64,
     /// Id of the own lease.
-    pub lease: Option<i64>,
+    pub lease_id: Option<i64>,
     /// Length of the own lease in milliseconds, counted from its last renewal.
-    pub length: Millis,
+    pub ttl_ms: Millis,
     /// When the call that created the own lease was sent.
-    pub granted: Millis,
+    pub grant_sent: Millis,
     /// Fence of this router's orders as planner; 0 while it isn't the planner.
     pub fence: u64,
     /// Position of the store at which the key was written.
-    pub taken: StorePosition,
+    pub taken_at: StorePosition,
     /// Earliest time at which a lease may be requested. After the store was restored from a
     /// backup an earlier planner may still count on a lease that the store has lost; it
     /// has run out by then.
     pub free_from: Millis,
     /// Until when the own lease is certain to be valid.
-    pub until: Millis,
+    pub valid_until: Millis,
     /// When the next store call may be made.
-    pub next_at: Millis,
+    pub next_call: Millis,
     /// The store call that awaits its reply.
     pub call: Option<(CallId, LeaseCall)>,
 }
@@ -80,13 +80,13 @@
 impl PlannerLease {
     /// Whether this router is certain to hold the planner lease at `now`.
     pub fn holds(&self, now: Millis) -> bool {
-        self.fence > 0 && now < self.until
+        self.fence > 0 && now < self.valid_until
     }
 
     /// Resets the state after the lease was lost or revoked; the key is read again.
     pub fn reset(&mut self) {
         *self = PlannerLease {
-            next_at: self.next_at,
+            next_call: self.next_call,
             free_from: self.free_from,
             call: self.call,
             ..PlannerLease::default()
@@ -96,43 +96,43 @@
 
 /// Makes the next store call about the planner lease, if one is due.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let duty = &state.plan.duty;
-    if duty.call.is_some() || now < duty.next_at {
+    let planner_lease = &state.plan.lease;
+    if planner_lease.call.is_some() || now < planner_lease.next_call {
         return;
     }
-    let own = duty.lease.filter(|_| duty.fence > 0);
+    let own = planner_lease.lease_id.filter(|_| planner_lease.fence > 0);
     // The key names this instance, but no own lease is held: an earlier process wrote it.
-    let is_own_key = duty.holder.as_deref() == Some(state.me.as_str());
-    let is_free = duty.watched && (duty.holder.is_none() || is_own_key);
-    let (purpose, op) = match (own, duty.lease) {
-        (Some(lease), _) if state.stopping.is_some() => {
+    let is_own_key = planner_lease.holder.as_deref() == Some(state.own_id.as_str());
+    let is_free = planner_lease.watched && (planner_lease.holder.is_none() || is_own_key);
+    let (purpose, op) = match (own, planner_lease.lease_id) {
+        (Some(lease), _) if state.stop_since.is_some() => {
             (LeaseCall::Revoke, StoreCall::Revoke { lease })
         }
-        _ if state.stopping.is_some() => return,
+        _ if state.stop_since.is_some() => return,
         (Some(lease), _) => {
-            state.plan.duty.next_at = now + duty.length / RENEWALS_PER_LEASE;
+            state.plan.lease.next_call = now + planner_lease.ttl_ms / RENEWALS_PER_LEASE;
             (LeaseCall::Renew(now), StoreCall::Renew { lease })
         }
         (None, Some(lease)) if is_free => {
             (LeaseCall::Acquire(lease, now), acquire_call(state, lease))
         }
         // The lease length depends on the number of endpoints, so the list is read first.
-        (None, None) if is_free && state.listed && now >= duty.free_from => {
+        (None, None) if is_free && state.listed && now >= planner_lease.free_from => {
             let ttl_s = (lease_ms(state) / 1_000).max(1);
             (LeaseCall::Grant(now), StoreCall::Grant { ttl_s })
         }
-        _ if !duty.watched => (LeaseCall::Read, read_call()),
+        _ if !planner_lease.watched => (LeaseCall::Read, read_call()),
         _ => return,
     };
-    let call = state.call(op, out);
-    state.plan.duty.call = Some((call, purpose));
+    let call = state.call_store(op, out);
+    state.plan.lease.call = Some((call, purpose));
 }
 
 /// Length of the lease: the configured one, or 1 ms per endpoint in whole seconds if that
 /// is longer, because a planning pass over all endpoints takes this router's time.
 fn lease_ms(state: &DirectState) -> Millis {
     let by_size = state.endpoints.len() as Millis / 1_000 * 1_000;
-    state.knobs.lease_ms.max(by_size)
+    state.params.lease_ms.max(by_size)
 }
 
 /// The store's era; 0 until anything was read from the store.
@@ -153,12 +153,12 @@
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
-    if state.plan.duty.fence > 0 {
+    if state.plan.lease.fence > 0 {
         let event = LogEvent::new(LogCode::PlannerLeaseLost)
             .with("why", "the store was restored from a backup");
         out.push(Effect::Log(event));
     }
-    state.plan.duty = PlannerLease {
+    state.plan.lease = PlannerLease {
         free_from: now + settling_ms(state),
         ..PlannerLease::default()
     };
@@ -176,12 +176,12 @@
     StoreCall::Swap {
         checks: vec![Check {
             key: KEY.to_string(),
-            revision: state.plan.duty.revision,
+            revision: state.plan.lease.revision,
         }],
         puts: vec![
             Put {
                 key: KEY.to_string(),
-                value: state.me.to_string(),
+                value: state.own_id.to_string(),
                 lease: Some(lease),
             },
             Put {
@@ -203,49 +203,50 @@
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some((_, purpose)) = state.plan.duty.call.filter(|(c, _)| *c == call) else {
+    let Some((_, purpose)) = state.plan.lease.call.filter(|(c, _)| *c == call) else {
         return;
     };
-    state.plan.duty.call = None;
+    state.plan.lease.call = None;
     if let (LeaseCall::Read, Ok(StoreReply::Entries { entries, .. })) = (purpose, &result) {
         peers::on_keys_read(state, now, entries);
         crashes::on_store_entries(state, now, entries, out);
     }
     let pause = jitter_ms(state);
     let (era, settling) = (era(state), settling_ms(state));
-    let duty = &mut state.plan.duty;
+    let planner_lease = &mut state.plan.lease;
     match (purpose, result) {
         (LeaseCall::Read, Ok(StoreReply::Entries { revision, entries })) => {
-            duty.watched = true;
+            planner_lease.watched = true;
             let last_era = entries.iter().find(|e| e.key == ERA_KEY);
             if last_era.is_some_and(|e| e.value != era.to_string()) {
-                duty.free_from = duty.free_from.max(now + settling);
+                planner_lease.free_from = planner_lease.free_from.max(now + settling);
             }
             let found = entries.into_iter().find(|e| e.key == KEY);
-            duty.revision = found.as_ref().map_or(0, |e| e.revision);
-            duty.holder = found.map(|e| e.value);
-            duty.next_at = now + pause;
+            planner_lease.revision = found.as_ref().map_or(0, |e| e.revision);
+            planner_lease.holder = found.map(|e| e.value);
+            planner_lease.next_call = now + pause;
             out.push(Effect::Watch { from: revision + 1 });
         }
         (LeaseCall::Grant(at), Ok(StoreReply::Lease { lease, ttl_s })) => {
-            duty.lease = Some(lease);
-            duty.length = ttl_s * 1_000;
-            duty.granted = at;
+            planner_lease.lease_id = Some(lease);
+            planner_lease.ttl_ms = ttl_s * 1_000;
+            planner_lease.grant_sent = at;
         }
         (LeaseCall::Acquire(lease, _), Ok(StoreReply::Swapped { done, revision, .. })) if done => {
-            duty.lease = Some(lease);
-            duty.taken = StorePosition { era, revision };
-            duty.fence = duty.taken.fence();
-            duty.until = duty.granted + duty.length;
-            duty.holder = Some(state.me.to_string());
-            let event = LogEvent::new(LogCode::PlannerLeaseTaken).with("fence", duty.fence);
+            planner_lease.lease_id = Some(lease);
+            planner_lease.taken_at = StorePosition { era, revision };
+            planner_lease.fence = planner_lease.taken_at.fence();
+            planner_lease.valid_until = planner_lease.grant_sent + planner_lease.ttl_ms;
+            planner_lease.holder = Some(state.own_id.to_string());
+            let event =
+                LogEvent::new(LogCode::PlannerLeaseTaken).with("fence", planner_lease.fence);
             out.push(Effect::Log(event));
         }
         (LeaseCall::Renew(at), Ok(StoreReply::Lease { ttl_s, .. })) if ttl_s > 0 => {
-            duty.until = at + duty.length;
+            planner_lease.valid_until = at + planner_lease.ttl_ms;
         }
         (LeaseCall::Renew(_), Ok(_)) | (LeaseCall::Revoke, _) => {
-            duty.reset();
+            planner_lease.reset();
             out.push(Effect::Log(
                 LogEvent::new(LogCode::PlannerLeaseLost)
                     .with("why", "the lease expired or was revoked"),
@@ -253,10 +254,10 @@
         }
         // The lease may have expired, or another router has written the key first.
         (LeaseCall::Acquire(..), _) => {
-            duty.reset();
-            duty.next_at = now + RETRY_PAUSE_MS;
+            planner_lease.reset();
+            planner_lease.next_call = now + RETRY_PAUSE_MS;
         }
-        _ => duty.next_at = now + RETRY_PAUSE_MS,
+        _ => planner_lease.next_call = now + RETRY_PAUSE_MS,
     }
 }
 
@@ -267,27 +268,27 @@
     changes: &[StoreChange],
 ) {
     let pause = jitter_ms(state);
-    let me = state.me.to_string();
-    let duty = &mut state.plan.duty;
+    let me = state.own_id.to_string();
+    let planner_lease = &mut state.plan.lease;
     for change in changes.iter().filter(|c| c.key == KEY) {
-        duty.holder.clone_from(&change.value);
-        duty.revision = if change.value.is_some() {
+        planner_lease.holder.clone_from(&change.value);
+        planner_lease.revision = if change.value.is_some() {
             change.revision
         } else {
             0
         };
-        let is_other = duty.holder.as_ref().is_some_and(|h| *h != me);
-        if is_other && duty.fence > 0 {
-            duty.fence = 0;
-            duty.lease = None;
+        let is_other = planner_lease.holder.as_ref().is_some_and(|h| *h != me);
+        if is_other && planner_lease.fence > 0 {
+            planner_lease.fence = 0;
+            planner_lease.lease_id = None;
         }
-        if duty.holder.is_none() && duty.fence == 0 {
-            duty.next_at = now + pause;
+        if planner_lease.holder.is_none() && planner_lease.fence == 0 {
+            planner_lease.next_call = now + pause;
         }
     }
 }
 
 /// Handles the loss of the watch: changes may have been missed, so the key is read again.
 pub(in crate::logic::direct) fn on_watch_lost(state: &mut DirectState) {
-    state.plan.duty.watched = false;
+    state.plan.lease.watched = false;
 }
--- a/src/logic/direct/plan/ending.rs
+++ b/src/logic/direct/plan/ending.rs
@@ -12,11 +12,11 @@
     /// The current step.
     pub step: EndingStep,
     /// When the step began.
-    pub since: Millis,
+    pub step_since: Millis,
     /// When the step's orders were last sent.
-    pub asked: Millis,
+    pub ordered_at: Millis,
     /// When a member was first known to have left without its head, which breaks the head.
-    pub left: Option<Millis>,
+    pub left_at: Option<Millis>,
 }
 
 /// What an ending group waits for.
--- a/src/logic/direct/plan/fill.rs
+++ b/src/logic/direct/plan/fill.rs
@@ -24,7 +24,7 @@
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let free = survey::free(state);
     if is_initial_phase(state) {
-        if now >= state.plan.count.1 + SETTLED_MS {
+        if now >= state.plan.engine_count.1 + SETTLED_MS {
             form_initial(state, now, free, out);
         }
         return;
@@ -57,7 +57,7 @@
 /// Whether the whole system starts for the first time and no caller has come yet: loads
 /// take nothing from callers then.
 pub(super) fn is_initial_phase(state: &DirectState) -> bool {
-    state.plan.first && !state.plan.traffic
+    state.plan.first_start && !state.plan.has_traffic
 }
 
 /// The engine of a service, if it has one.
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -17,8 +17,8 @@
 
 /// An epoch above every earlier one of any planner.
 pub(super) fn next_epoch(state: &mut DirectState) -> u64 {
-    state.plan.named += 1;
-    state.plan.duty.fence * EPOCHS_PER_FENCE + state.plan.named
+    state.plan.epochs_used += 1;
+    state.plan.lease.fence * EPOCHS_PER_FENCE + state.plan.epochs_used
 }
 
 /// Time beyond the published times after which members that aren't ready are probed.
@@ -49,12 +49,12 @@
         domain: place.1.clone(),
         model,
         members,
-        taken: BTreeSet::new(),
-        seen: BTreeMap::new(),
-        asked: now,
-        since: now,
-        limit: now + takes + FORM_SLACK_MS,
-        opened: None,
+        accepted: BTreeSet::new(),
+        reported: BTreeMap::new(),
+        ordered_at: now,
+        started_at: now,
+        deadline: now + takes + FORM_SLACK_MS,
+        open_sent: None,
         adopted: false,
     };
     for member in &forming.members {
@@ -77,7 +77,7 @@
     out: &mut Vec<Effect>,
 ) {
     for id in &forming.members {
-        if forming.taken.contains(id) {
+        if forming.accepted.contains(id) {
             continue;
         }
         let step = GroupStep::Join {
@@ -114,12 +114,17 @@
     let seats: Vec<_> = forming
         .members
         .iter()
-        .map(|id| latest_state(seat_state(state, id, group), forming.seen.get(id).copied()))
+        .map(|id| {
+            latest_state(
+                seat_state(state, id, group),
+                forming.reported.get(id).copied(),
+            )
+        })
         .collect();
     if seats.first() == Some(&Some(SeatState::Open)) {
         let event = LogEvent::new(LogCode::GroupOpened)
             .with("group", group)
-            .with("took", now.saturating_sub(forming.since));
+            .with("took", now.saturating_sub(forming.started_at));
         out.push(Effect::Log(event));
         record_seats(state, now, group, forming);
         return false;
@@ -129,7 +134,7 @@
         .iter()
         .find(|id| !is_available(state, id))
         .cloned();
-    if lost.is_some() || now >= forming.limit {
+    if lost.is_some() || now >= forming.deadline {
         let why = lost.map_or("not open within its time limit".to_string(), |id| {
             format!("{id} is lost")
         });
@@ -138,14 +143,16 @@
     }
     for (id, seat) in forming.members.iter().zip(&seats) {
         if seat.is_some() {
-            forming.taken.insert(id.clone());
+            forming.accepted.insert(id.clone());
         }
     }
-    if forming.taken.len() < forming.members.len() && now >= forming.asked + state.knobs.order_ms {
-        forming.asked = now;
+    if forming.accepted.len() < forming.members.len()
+        && now >= forming.ordered_at + state.params.reorder_ms
+    {
+        forming.ordered_at = now;
         send_join_orders(state, group, forming, out);
     }
-    if now + FORM_SLACK_MS >= forming.limit + LATE_PROBE_MS {
+    if now + FORM_SLACK_MS >= forming.deadline + LATE_PROBE_MS {
         for (id, seat) in forming.members.iter().zip(&seats) {
             if !matches!(seat, Some(SeatState::Ready | SeatState::Open)) {
                 look::send_if_due(state, now, id, out);
@@ -154,10 +161,10 @@
     }
     let is_ready = |s: &Option<SeatState>| matches!(s, Some(SeatState::Ready | SeatState::Open));
     let due = forming
-        .opened
-        .is_none_or(|at| now >= at + state.knobs.order_ms);
+        .open_sent
+        .is_none_or(|at| now >= at + state.params.reorder_ms);
     if seats.iter().all(is_ready) && due {
-        forming.opened = Some(now);
+        forming.open_sent = Some(now);
         let head = forming.members[0].clone();
         let step = GroupStep::Open {
             group: group.clone(),
@@ -190,7 +197,7 @@
             view.entry.model = Some(forming.model.clone());
             state
                 .plan
-                .seats
+                .opened_seats
                 .insert(id.clone(), (seat, forming.model.clone()));
             if rank == 0 {
                 digests::on_head_opened(state, now, id);
@@ -207,12 +214,12 @@
     id: &InstanceId,
     mut entry: EndpointEntry,
 ) -> EndpointEntry {
-    let Some((seat, model)) = state.plan.seats.get(id) else {
+    let Some((seat, model)) = state.plan.opened_seats.get(id) else {
         return entry;
     };
     let listed = entry.seat.as_ref().map_or(0, |s| s.epoch);
     if listed >= seat.epoch || state.plan.ended.contains(&seat.group) {
-        state.plan.seats.remove(id);
+        state.plan.opened_seats.remove(id);
         return entry;
     }
     entry.seat = Some(seat.clone());
@@ -234,15 +241,15 @@
         .with("group", group)
         .with("why", why);
     out.push(Effect::Log(event));
-    if forming.opened.is_some() || forming.adopted {
+    if forming.open_sent.is_some() || forming.adopted {
         let ending = EndingGroup {
             epoch: forming.epoch,
             head: forming.members.first().cloned(),
             others: forming.members.iter().skip(1).cloned().collect(),
             step: EndingStep::Leaving,
-            since: now,
-            asked: now,
-            left: None,
+            step_since: now,
+            ordered_at: now,
+            left_at: None,
         };
         retire::add_ending(state, now, group, ending, out);
     } else {
@@ -254,7 +261,7 @@
 pub(super) fn on_seat_report(state: &mut DirectState, id: &InstanceId, seat: &GroupSeat) {
     if let Some(forming) = state.plan.forming.get_mut(&seat.group) {
         if forming.epoch == seat.epoch {
-            forming.seen.insert(id.clone(), seat.state);
+            forming.reported.insert(id.clone(), seat.state);
         }
     }
 }
--- a/src/logic/direct/plan/forming.rs
+++ b/src/logic/direct/plan/forming.rs
@@ -17,17 +17,17 @@
     /// Its members, the head first.
     pub members: Vec<InstanceId>,
     /// Members that show a seat in this group, and so have accepted the order to join.
-    pub taken: BTreeSet<InstanceId>,
+    pub accepted: BTreeSet<InstanceId>,
     /// Seat states that members have reported themselves, as the list may lag behind.
-    pub seen: BTreeMap<InstanceId, SeatState>,
+    pub reported: BTreeMap<InstanceId, SeatState>,
     /// When orders to join were last sent.
-    pub asked: Millis,
+    pub ordered_at: Millis,
     /// When forming it began.
-    pub since: Millis,
+    pub started_at: Millis,
     /// When it is given up if it isn't open.
-    pub limit: Millis,
+    pub deadline: Millis,
     /// Whether another planner began it, and may have ordered the head to open.
     pub adopted: bool,
     /// When the head was last ordered to open, if it was.
-    pub opened: Option<Millis>,
+    pub open_sent: Option<Millis>,
 }
--- a/src/logic/direct/plan/idle.rs
+++ b/src/logic/direct/plan/idle.rs
@@ -21,9 +21,9 @@
     /// Why.
     pub reason: IdleReason,
     /// Whether it was logged with this reason.
-    pub told: bool,
+    pub logged: bool,
     /// The ended group that it was ordered to leave, as the list still shows its seat there.
-    pub left: Option<Arc<str>>,
+    pub leave_sent: Option<Arc<str>>,
 }
 
 /// Updates the free endpoints with their reasons, and logs each new reason once.
@@ -33,21 +33,23 @@
         let reason = idle_reason(state, &id);
         let known = state.plan.idle.get(&id).cloned();
         let since = known.as_ref().map_or(now, |i| i.since);
-        let told = known.as_ref().is_some_and(|i| i.told && i.reason == reason);
-        let due = !told && now >= since + MIN_IDLE_MS;
+        let logged = known
+            .as_ref()
+            .is_some_and(|i| i.logged && i.reason == reason);
+        let due = !logged && now >= since + MIN_IDLE_MS;
         if due {
             out.push(Effect::Log(idle_event(state, now, &id, since, reason)));
         }
-        let told = told || due;
-        let mut left = known.and_then(|i| i.left.clone());
-        if now >= since + MIN_IDLE_MS && state.knobs.on(Mechanism::Freeing) {
-            left = send_leave_once(state, &id, left, out);
+        let logged = logged || due;
+        let mut leave_sent = known.and_then(|i| i.leave_sent.clone());
+        if now >= since + MIN_IDLE_MS && state.params.is_enabled(Mechanism::Freeing) {
+            leave_sent = send_leave_once(state, &id, leave_sent, out);
         }
         let entry = IdleEndpoint {
             since,
             reason,
-            told,
-            left,
+            logged,
+            leave_sent,
         };
         idle.insert(id, entry);
     }
@@ -60,13 +62,13 @@
 fn send_leave_once(
     state: &mut DirectState,
     id: &InstanceId,
-    left: Option<Arc<str>>,
+    leave_sent: Option<Arc<str>>,
     out: &mut Vec<Effect>,
 ) -> Option<Arc<str>> {
     let seat = state.endpoints.get(id)?.entry.seat.clone()?;
     let has_ended = state.plan.ended.contains(&seat.group);
-    if !has_ended || left.as_ref() == Some(&seat.group) {
-        return left;
+    if !has_ended || leave_sent.as_ref() == Some(&seat.group) {
+        return leave_sent;
     }
     let step = GroupStep::Leave {
         group: seat.group.clone(),
@@ -78,7 +80,7 @@
 
 fn idle_reason(state: &DirectState, id: &InstanceId) -> IdleReason {
     let view = state.endpoints.get(id);
-    let has_model = view.is_some_and(|v| v.last.is_some() || !v.entry.staged.is_empty());
+    let has_model = view.is_some_and(|v| v.last_model.is_some() || !v.entry.staged.is_empty());
     if has_model {
         IdleReason::Waits
     } else if state.plan.staging.contains_key(id) {
@@ -96,7 +98,7 @@
     reason: IdleReason,
 ) -> LogEvent {
     let view = state.endpoints.get(id);
-    let held = view.and_then(|v| v.last.as_deref()).unwrap_or("-");
+    let held = view.and_then(|v| v.last_model.as_deref()).unwrap_or("-");
     let staged: Vec<&str> = view.map_or(Vec::new(), |v| {
         v.entry.staged.iter().map(|m| &**m).collect()
     });
--- a/src/logic/direct/plan/inspect.rs
+++ b/src/logic/direct/plan/inspect.rs
@@ -19,7 +19,7 @@
     let groups = survey::groups(state);
     state
         .plan
-        .partial
+        .incomplete
         .retain(|name, _| groups.contains_key(name));
     for (name, group) in groups {
         let is_handled =
@@ -39,7 +39,7 @@
 ) {
     let size = group_size(state, group);
     if !size.is_some_and(|size| group.complete(size)) {
-        let since = *state.plan.partial.entry(name.clone()).or_insert(now);
+        let since = *state.plan.incomplete.entry(name.clone()).or_insert(now);
         let limit = if size.is_some() {
             INCOMPLETE_LIMIT_MS
         } else {
@@ -50,7 +50,7 @@
         }
         return;
     }
-    state.plan.partial.remove(name);
+    state.plan.incomplete.remove(name);
     for seat in group.seats.values().filter(|s| !s.listed) {
         look::send_if_due(state, now, &seat.id, out);
     }
@@ -92,19 +92,19 @@
 /// Continues to form a group that another planner has begun.
 fn adopt(state: &mut DirectState, now: Millis, name: &Arc<str>, group: &GroupView) {
     let members: Vec<InstanceId> = group.seats.values().map(|s| s.id.clone()).collect();
-    let taken: BTreeSet<_> = members.iter().cloned().collect();
+    let accepted: BTreeSet<_> = members.iter().cloned().collect();
     let forming = FormingGroup {
         epoch: group.epoch,
         service: group.service.clone(),
         domain: group.domain.clone(),
         model: group.model.clone().unwrap_or_else(|| Arc::from("")),
         members,
-        taken,
-        seen: BTreeMap::new(),
-        asked: now,
-        since: now,
-        limit: now + ADOPTED_LIMIT_MS,
-        opened: None,
+        accepted,
+        reported: BTreeMap::new(),
+        ordered_at: now,
+        started_at: now,
+        deadline: now + ADOPTED_LIMIT_MS,
+        open_sent: None,
         adopted: true,
     };
     state.plan.forming.insert(name.clone(), forming);
@@ -118,9 +118,9 @@
         head: group.head().map(|h| h.id.clone()),
         others: others.map(|s| s.id.clone()).collect(),
         step: EndingStep::Closing,
-        since: now,
-        asked: now,
-        left: None,
+        step_since: now,
+        ordered_at: now,
+        left_at: None,
     };
     state.plan.ending.insert(name.clone(), ending);
 }
--- a/src/logic/direct/plan/look.rs
+++ b/src/logic/direct/plan/look.rs
@@ -32,9 +32,9 @@
     /// Consecutive probes without an answer.
     pub misses: u32,
     /// When the last probe was sent; 0 before the first.
-    pub since: Millis,
+    pub sent_at: Millis,
     /// Numbers of the questions to other routers that await answers.
-    pub asked: Vec<u64>,
+    pub questions: Vec<u64>,
     /// When other routers were last asked; 0 before that.
     pub asked_at: Millis,
     /// This router's own observation, by its last probe.
@@ -69,7 +69,7 @@
     head: &InstanceId,
     out: &mut Vec<Effect>,
 ) {
-    if !state.plan.duty.holds(now) {
+    if !state.plan.lease.holds(now) {
         return;
     }
     let seat = state.endpoints.get(head).and_then(|v| v.entry.seat.clone());
@@ -109,8 +109,8 @@
     id: &InstanceId,
     out: &mut Vec<Effect>,
 ) {
-    let probe = state.plan.looks.entry(id.clone()).or_default();
-    if probe.pending || (probe.since > 0 && now < probe.since + PROBE_INTERVAL_MS) {
+    let probe = state.plan.probes.entry(id.clone()).or_default();
+    if probe.pending || (probe.sent_at > 0 && now < probe.sent_at + PROBE_INTERVAL_MS) {
         return;
     }
     send(state, now, id, out);
@@ -120,9 +120,9 @@
     let Some(addr) = state.endpoints.get(id).map(|v| v.entry.addr) else {
         return;
     };
-    let probe = state.plan.looks.entry(id.clone()).or_default();
+    let probe = state.plan.probes.entry(id.clone()).or_default();
     probe.pending = true;
-    probe.since = now;
+    probe.sent_at = now;
     out.push(Effect::Direct(DirectEffect::Probe {
         id: id.clone(),
         addr,
@@ -137,19 +137,19 @@
     result: ProbeResult,
     out: &mut Vec<Effect>,
 ) {
-    if !state.plan.duty.holds(now) {
+    if !state.plan.lease.holds(now) {
         return;
     }
-    let since = state.plan.looks.get(id).map_or(now, |p| p.since);
+    let since = state.plan.probes.get(id).map_or(now, |p| p.sent_at);
     endpoints::on_probe_result(state, now, id, &result, out);
     let observation = endpoints::observation(state, now, id, &result, since);
-    let probe = state.plan.looks.entry(id.clone()).or_default();
+    let probe = state.plan.probes.entry(id.clone()).or_default();
     probe.pending = false;
     probe.own = Some(observation);
     match result {
         ProbeResult::Alive { seat, .. } => {
             *probe = ProbeState {
-                since: probe.since,
+                sent_at: probe.sent_at,
                 ..ProbeState::default()
             };
             if state.plan.lost.remove(id).is_some() {
@@ -187,14 +187,14 @@
 fn ask_routers(state: &mut DirectState, now: Millis, id: &InstanceId, out: &mut Vec<Effect>) {
     let seat = state.endpoints.get(id).and_then(|v| v.entry.seat.as_ref());
     let is_head = seat.is_some_and(|s| s.rank == 0);
-    let probe = state.plan.looks.get(id);
+    let probe = state.plan.probes.get(id);
     let due = probe.is_some_and(|p| p.asked_at == 0 || now >= p.asked_at + ASK_INTERVAL_MS);
     if !is_head || !due {
         return;
     }
     let asked = peers::send_probe_requests(state, id, MAX_ASKED_ROUTERS, out);
-    if let Some(probe) = state.plan.looks.get_mut(id) {
-        probe.asked = asked;
+    if let Some(probe) = state.plan.probes.get_mut(id) {
+        probe.questions = asked;
         probe.asked_at = now;
         probe.others.clear();
     }
@@ -206,9 +206,9 @@
     number: u64,
     observation: Observation,
 ) {
-    for probe in state.plan.looks.values_mut() {
-        if let Some(at) = probe.asked.iter().position(|n| *n == number) {
-            probe.asked.swap_remove(at);
+    for probe in state.plan.probes.values_mut() {
+        if let Some(at) = probe.questions.iter().position(|n| *n == number) {
+            probe.questions.swap_remove(at);
             probe.others.push(observation);
         }
     }
@@ -218,13 +218,13 @@
 /// has stopped. With no other routers it is never confirmed.
 pub(super) fn is_stop_confirmed(state: &DirectState, id: &InstanceId) -> bool {
     let needed = MAX_ASKED_ROUTERS.min(state.peers.len()).max(1);
-    let probe = state.plan.looks.get(id);
+    let probe = state.plan.probes.get(id);
     probe.is_some_and(|p| p.others.len() >= needed && p.is_stopped())
 }
 
 /// Whether any router finds an endpoint alive.
 pub(super) fn is_found_alive(state: &DirectState, id: &InstanceId) -> bool {
-    state.plan.looks.get(id).is_some_and(ProbeState::is_alive)
+    state.plan.probes.get(id).is_some_and(ProbeState::is_alive)
 }
 
 fn mark_lost(
@@ -237,8 +237,8 @@
     let Some(view) = state.endpoints.get_mut(id) else {
         return;
     };
-    view.silent.get_or_insert(now);
-    let beat_age = now.saturating_sub(view.beat_at);
+    view.silent_since.get_or_insert(now);
+    let beat_age = now.saturating_sub(view.heartbeat_at);
     if state.plan.lost.insert(id.clone(), now).is_none() {
         readiness::on_endpoint_lost(state, now);
         let event = LogEvent::new(LogCode::EndpointLost)
@@ -246,7 +246,7 @@
             .with("why", why)
             .with("beat_age", beat_age);
         out.push(Effect::Log(event));
-        state.plan.look_at = now;
+        state.plan.next_pass = now;
     }
 }
 
@@ -259,16 +259,16 @@
     };
     let members = group_members(state, &group);
     let has_answered = |id: &InstanceId| {
-        let probe = state.plan.looks.get(id);
-        probe.is_some_and(|p| !p.pending && p.misses == 0 && now < p.since + PROBE_INTERVAL_MS)
+        let probe = state.plan.probes.get(id);
+        probe.is_some_and(|p| !p.pending && p.misses == 0 && now < p.sent_at + PROBE_INTERVAL_MS)
     };
     if !members.iter().all(has_answered) {
         return;
     }
     for id in &members {
         if let Some(view) = state.endpoints.get_mut(id) {
-            if view.silent.take().is_some() {
-                view.pause = view.pause.max(now.saturating_sub(view.heard));
+            if view.silent_since.take().is_some() {
+                view.longest_pause = view.longest_pause.max(now.saturating_sub(view.active_at));
             }
         }
     }
@@ -278,10 +278,10 @@
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let endpoints = &state.endpoints;
     state.plan.lost.retain(|id, _| endpoints.contains_key(id));
-    state.plan.looks.retain(|id, _| endpoints.contains_key(id));
+    state.plan.probes.retain(|id, _| endpoints.contains_key(id));
     let has_heartbeat = |id: &InstanceId, since: Millis| {
         let view = endpoints.get(id);
-        view.is_some_and(|v| v.listed && v.beat_at > since)
+        view.is_some_and(|v| v.listed && v.heartbeat_at > since)
     };
     let to_probe: Vec<InstanceId> = state
         .plan
@@ -291,7 +291,7 @@
         .map(|(id, _)| id.clone())
         .collect();
     for id in to_probe {
-        let since = state.plan.looks.get(&id).map_or(0, |p| p.since);
+        let since = state.plan.probes.get(&id).map_or(0, |p| p.sent_at);
         if now >= since + LOST_PROBE_INTERVAL_MS {
             send_if_due(state, now, &id, out);
         }
--- a/src/logic/direct/plan/mod.rs
+++ b/src/logic/direct/plan/mod.rs
@@ -4,7 +4,7 @@
 //! existing groups are read from the endpoint list and not from any state of an
 //! earlier planner, so that a new planner can continue its predecessor's work.
 //!
-//! `planner_lease` keeps the planner lease and `planning_pass` runs the periodic planning pass.
+//! `duty` keeps the planner lease and `tend` runs the periodic planning pass.
 //! `survey` reads the groups from the list, `look` probes endpoints that may be lost,
 //! `inspect` finds groups that need a repair, an orderly end or their next step, and
 //! `form` and `retire` form and end groups by the orders that `order` sends.
@@ -13,6 +13,7 @@
 //! what groups are worth given the demand, `readiness` what a load in advance adds.
 //! `idle` reports endpoints that serve in no group, with the reason.
 
+mod duty;
 mod ending;
 mod fill;
 mod fleet_view;
@@ -29,16 +30,16 @@
 mod order;
 mod place;
 mod plan_state;
-mod planner_lease;
-mod planning_pass;
 mod readiness;
 mod retire;
 mod stage;
 mod staging;
 mod survey;
+mod tend;
 mod trade;
 mod value;
 
+pub use duty::{LeaseCall, PlannerLease};
 pub use ending::{EndingGroup, EndingStep};
 pub use forming::FormingGroup;
 pub use group_view::{GroupMember, GroupView};
@@ -49,14 +50,11 @@
 pub use order::OrderUse;
 pub use place::{place, PlacementInput, PlacementModel};
 pub use plan_state::PlanState;
-pub use planner_lease::{LeaseCall, PlannerLease};
 pub use staging::StagedLoad;
 
+pub(super) use duty::{on_store_reply, on_store_restored, on_watch_changes, on_watch_lost};
 pub(super) use form::apply_known_seat;
 pub(super) use look::{on_head_silent, on_observation, on_probe_result};
 pub(super) use order::on_order_result;
-pub(super) use planner_lease::{
-    on_store_reply, on_store_restored, on_watch_changes, on_watch_lost,
-};
-pub(super) use planning_pass::on_tick;
 pub(super) use retire::{is_in_retired_group, on_endpoint_restarted};
+pub(super) use tend::on_tick;
--- a/src/logic/direct/plan/order.rs
+++ b/src/logic/direct/plan/order.rs
@@ -52,8 +52,8 @@
     let Some(addr) = state.endpoints.get(id).map(|v| v.entry.addr) else {
         return;
     };
-    let order = state.number();
-    let fence = state.plan.duty.fence;
+    let order = state.next_number();
+    let fence = state.plan.lease.fence;
     state.plan.orders.insert(order, purpose);
     out.push(Effect::Direct(DirectEffect::Order {
         order,
--- a/src/logic/direct/plan/plan_state.rs
+++ b/src/logic/direct/plan/plan_state.rs
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlanState {
     /// The planner lease.
-    pub duty: PlannerLease,
+    pub lease: PlannerLease,
     /// Whether this router held the planner lease at the last tick.
-    pub held: bool,
+    pub was_planner: bool,
     /// When the whole list may be requested again, while it is older than the planner lease.
-    pub read_at: Millis,
+    pub reread_at: Millis,
     /// When the next planning pass is due.
-    pub look_at: Millis,
+    pub next_pass: Millis,
     /// Groups that are being formed, by name.
     pub forming: BTreeMap<Arc<str>, FormingGroup>,
     /// Groups that are ending, by name.
@@ -27,7 +27,7 @@
     /// Groups that have ended; endpoints that still have a seat in them are free.
     pub ended: BTreeSet<Arc<str>>,
     /// Incomplete groups by name, with the time since when each is known to be incomplete.
-    pub partial: BTreeMap<Arc<str>, Millis>,
+    pub incomplete: BTreeMap<Arc<str>, Millis>,
     /// Endpoints that were ordered to load a model in advance.
     pub staging: BTreeMap<InstanceId, StagedLoad>,
     /// Lost endpoints, with the time of the loss.
@@ -35,12 +35,12 @@
     /// Free endpoints, while this router is the planner.
     pub idle: BTreeMap<InstanceId, IdleEndpoint>,
     /// When the needs of models are logged next.
-    pub needs_at: Millis,
+    pub needs_due: Millis,
     /// Probes of endpoints.
-    pub looks: BTreeMap<InstanceId, ProbeState>,
+    pub probes: BTreeMap<InstanceId, ProbeState>,
     /// Seats, with their model, in groups that this planner has opened, while the list doesn't
     /// show them yet.
-    pub seats: BTreeMap<InstanceId, (GroupSeat, Arc<str>)>,
+    pub opened_seats: BTreeMap<InstanceId, (GroupSeat, Arc<str>)>,
     /// Purposes of the orders that await a result, by order number.
     pub orders: BTreeMap<u64, OrderUse>,
     /// Number of orders by purpose and result, since this process started.
@@ -48,23 +48,23 @@
     /// Budget of loads from the weight store.
     pub budget: LoadBudget,
     /// Times of recent losses of endpoints.
-    pub deaths: VecDeque<Millis>,
+    pub recent_losses: VecDeque<Millis>,
     /// When a group was last traded.
-    pub traded: Millis,
+    pub last_trade: Millis,
     /// The group that was last traded in each service and domain.
-    pub trades: BTreeMap<Place, Arc<str>>,
+    pub traded_groups: BTreeMap<Place, Arc<str>>,
     /// The last place for which trades were weighed; none if the next pass starts with the first.
-    pub weighed: Option<Place>,
+    pub trade_cursor: Option<Place>,
     /// Epochs given out so far by this router.
-    pub named: u64,
+    pub epochs_used: u64,
     /// Number of endpoints of engines at the last planning pass, and when it last changed.
-    pub count: (usize, Millis),
+    pub engine_count: (usize, Millis),
     /// Largest number of endpoints of engines so far.
-    pub most: usize,
+    pub engine_peak: usize,
     /// Whether any router is known to have had a caller since this process started.
-    pub traffic: bool,
+    pub has_traffic: bool,
     /// Whether the whole system starts for the first time.
-    pub first: bool,
+    pub first_start: bool,
 }
 
 impl PlanState {
--- a/src/logic/direct/plan/readiness.rs
+++ b/src/logic/direct/plan/readiness.rs
@@ -129,14 +129,17 @@
 /// a short time says little.
 pub(super) fn loss_rate(state: &DirectState, now: Millis) -> f64 {
     let is_recent = |at: &&Millis| now < **at + LOSS_WINDOW_MS;
-    let losses = state.plan.deaths.iter().filter(is_recent).count();
+    let losses = state.plan.recent_losses.iter().filter(is_recent).count();
     (losses + 1) as f64 * 1_000.0 / LOSS_WINDOW_MS as f64
 }
 
 /// Counts the loss of an endpoint.
 pub(super) fn on_endpoint_lost(state: &mut DirectState, now: Millis) {
-    state.plan.deaths.retain(|at| now < at + LOSS_WINDOW_MS);
-    state.plan.deaths.push_back(now);
+    state
+        .plan
+        .recent_losses
+        .retain(|at| now < at + LOSS_WINDOW_MS);
+    state.plan.recent_losses.push_back(now);
 }
 
 /// Whether an endpoint is ready for a model, or was ordered to load it.
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -39,9 +39,9 @@
         } else {
             EndingStep::Leaving
         },
-        since: now,
-        asked: now,
-        left: None,
+        step_since: now,
+        ordered_at: now,
+        left_at: None,
     };
     add_ending(state, now, group, ending, out);
 }
@@ -144,14 +144,14 @@
     out: &mut Vec<Effect>,
 ) {
     let plan = &mut state.plan;
-    plan.seats.remove(id);
+    plan.opened_seats.remove(id);
     plan.staging.remove(id);
-    plan.looks.remove(id);
+    plan.probes.remove(id);
     let was_lost = plan.lost.remove(id).is_some();
-    if !plan.duty.holds(now) {
+    if !plan.lease.holds(now) {
         return;
     }
-    plan.look_at = now;
+    plan.next_pass = now;
     if !was_lost {
         readiness::on_endpoint_lost(state, now);
     }
@@ -179,7 +179,7 @@
 /// on the head makes no progress, and breaks after the stall time.
 pub(super) fn on_member_left(state: &mut DirectState, now: Millis, group: &Arc<str>) {
     if let Some(ending) = state.plan.ending.get_mut(group) {
-        ending.left.get_or_insert(now);
+        ending.left_at.get_or_insert(now);
     }
 }
 
@@ -217,11 +217,11 @@
     let next = next_step(state, now, group, ending);
     if next != ending.step {
         ending.step = next;
-        ending.since = now;
-        ending.asked = now;
+        ending.step_since = now;
+        ending.ordered_at = now;
         send_orders(state, group, ending, out);
-    } else if now >= ending.asked + state.knobs.order_ms {
-        ending.asked = now;
+    } else if now >= ending.ordered_at + state.params.reorder_ms {
+        ending.ordered_at = now;
         send_orders(state, group, ending, out);
     }
     true
@@ -242,14 +242,14 @@
         EndingStep::Closing => {
             let is_closed =
                 head.and_then(|id| seat_state(state, id, group)) == Some(SeatState::Ready);
-            if is_closed || now >= ending.since + CLOSING_LIMIT_MS {
+            if is_closed || now >= ending.step_since + CLOSING_LIMIT_MS {
                 EndingStep::Leaving
             } else {
                 EndingStep::Closing
             }
         }
         EndingStep::Confirming | EndingStep::Breaking if !is_lost => EndingStep::Leaving,
-        EndingStep::Confirming if now >= ending.since + confirm_limit_ms(state, head) => {
+        EndingStep::Confirming if now >= ending.step_since + confirm_limit_ms(state, head) => {
             EndingStep::Breaking
         }
         step => step,
@@ -287,9 +287,9 @@
             .as_ref()
             .is_some_and(|id| look::is_stop_confirmed(state, id)),
         EndingStep::Breaking => {
-            let without_members = ending.others.is_empty().then_some(ending.since);
-            let since = ending.left.or(without_members);
-            since.is_some_and(|at| now >= at + state.knobs.stall_ms + BREAK_SLACK_MS)
+            let without_members = ending.others.is_empty().then_some(ending.step_since);
+            let since = ending.left_at.or(without_members);
+            since.is_some_and(|at| now >= at + state.params.stall_ms + BREAK_SLACK_MS)
         }
         EndingStep::Closing | EndingStep::Leaving => false,
     }
--- a/src/logic/direct/plan/stage.rs
+++ b/src/logic/direct/plan/stage.rs
@@ -34,11 +34,12 @@
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     forget_finished(state, now);
     refill_budget(state, now);
-    if state.plan.orders.len() < MAX_UNANSWERED_ORDERS && state.knobs.on(Mechanism::Spares) {
+    if state.plan.orders.len() < MAX_UNANSWERED_ORDERS && state.params.is_enabled(Mechanism::Spares)
+    {
         stage_spares(state, now, out);
     }
     if state.plan.orders.len() < MAX_UNANSWERED_ORDERS / 4
-        && state.knobs.on(Mechanism::SecondModels)
+        && state.params.is_enabled(Mechanism::SecondModels)
     {
         stage_second_models(state, now, out);
     }
@@ -58,14 +59,14 @@
             let is_idle = !state.plan.staging.contains_key(id);
             let view = state.endpoints.get(id);
             // An order to hold its model again would evict the second one from its host.
-            let has_model = view.is_some_and(|v| v.last.is_some());
+            let has_model = view.is_some_and(|v| v.last_model.is_some());
             if !is_idle || has_model {
                 continue;
             }
             let warm = warm_model(state, id, &readiness.engine);
             // An endpoint that started before this router knew the list may hold a model
             // that this router doesn't know of, and would lose it.
-            if warm.is_some() && !view.is_some_and(|v| v.new) {
+            if warm.is_some() && !view.is_some_and(|v| v.seen_start) {
                 continue;
             }
             if warm.is_none() && !can_load(state, &readiness.engine) {
@@ -157,7 +158,7 @@
     let mut best: Option<(f64, InstanceId, usize)> = None;
     for (id, view) in &state.endpoints {
         let is_loading = state.plan.staging.contains_key(id);
-        let Some(held) = view.last.as_ref().filter(|_| !is_loading) else {
+        let Some(held) = view.last_model.as_ref().filter(|_| !is_loading) else {
             continue;
         };
         // Hosts keep few models: a second one that is already there isn't evicted.
--- a/src/logic/direct/plan/planning_pass.rs
+++ b/src/logic/direct/plan/tend.rs
@@ -1,8 +1,7 @@
 //! The periodic planning pass over all groups and free endpoints.
 
 use super::{
-    fill, fleet_view, form, idle, inspect, look, planner_lease, retire, stage, survey, value,
-    LoadBudget,
+    duty, fill, fleet_view, form, idle, inspect, look, retire, stage, survey, value, LoadBudget,
 };
 use crate::logic::direct::{DirectEffect, DirectState};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -20,13 +19,13 @@
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
-    planner_lease::on_tick(state, now, out);
-    let holds = state.plan.duty.holds(now) && state.stopping.is_none();
-    if holds != state.plan.held {
-        state.plan.held = holds;
+    duty::on_tick(state, now, out);
+    let holds = state.plan.lease.holds(now) && state.stop_since.is_none();
+    if holds != state.plan.was_planner {
+        state.plan.was_planner = holds;
         clear_pass_state(state);
         if holds {
-            state.plan.read_at = now;
+            state.plan.reread_at = now;
             state.plan.budget = LoadBudget::empty(now);
             look::send_to_seated(state, now, out);
         }
@@ -38,12 +37,12 @@
     if holds {
         request_list(state, now, out);
     }
-    if !holds || !is_list_current(state) || state.routing.is_none() || now < state.plan.look_at {
+    if !holds || !is_list_current(state) || state.routing.is_none() || now < state.plan.next_pass {
         return;
     }
     // A pass takes time in proportion to the endpoints: large fleets are planned less often.
     let interval = state.endpoints.len() as Millis / ENDPOINTS_PER_MS;
-    state.plan.look_at = now + state.knobs.plan_ms.max(interval);
+    state.plan.next_pass = now + state.params.planning_ms.max(interval);
     update_engine_count(state, now);
     look::on_tick(state, now, out);
     form::on_tick(state, now, out);
@@ -59,17 +58,17 @@
 /// Whether the list is complete and at least as new as the planner lease, so that it
 /// shows everything that earlier planners did.
 fn is_list_current(state: &DirectState) -> bool {
-    let is_complete = state.listed && !state.digests.skipped;
-    is_complete && state.listed_at >= state.plan.duty.taken
+    let is_complete = state.listed && !state.digests.list_incomplete;
+    is_complete && state.listed_at >= state.plan.lease.taken_at
 }
 
 /// Requests the whole list while it is older than the planner lease: in a large fleet this
 /// takes far less time than catching up by single changes.
 fn request_list(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    if is_list_current(state) || now < state.plan.read_at {
+    if is_list_current(state) || now < state.plan.reread_at {
         return;
     }
-    state.plan.read_at = now + LIST_READ_INTERVAL_MS;
+    state.plan.reread_at = now + LIST_READ_INTERVAL_MS;
     out.push(Effect::Direct(DirectEffect::ReadList));
 }
 
@@ -79,12 +78,12 @@
     plan.forming.clear();
     plan.ending.clear();
     plan.ended.clear();
-    plan.partial.clear();
+    plan.incomplete.clear();
     plan.staging.clear();
     plan.orders.clear();
-    plan.seats.clear();
+    plan.opened_seats.clear();
     plan.lost.clear();
-    plan.looks.clear();
+    plan.probes.clear();
     plan.idle.clear();
 }
 
@@ -93,10 +92,10 @@
 
 /// Logs the groups that each model has and needs.
 fn log_needs(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    if now < state.plan.needs_at {
+    if now < state.plan.needs_due {
         return;
     }
-    state.plan.needs_at = now + NEEDS_LOG_INTERVAL_MS;
+    state.plan.needs_due = now + NEEDS_LOG_INTERVAL_MS;
     let Some(routing) = state.routing.clone() else {
         return;
     };
@@ -125,9 +124,9 @@
         .values()
         .filter(|v| v.listed && survey::is_planned(state, v));
     let count = engines.count();
-    state.plan.most = state.plan.most.max(count);
-    if count != state.plan.count.0 {
-        state.plan.count = (count, now);
+    state.plan.engine_peak = state.plan.engine_peak.max(count);
+    if count != state.plan.engine_count.0 {
+        state.plan.engine_count = (count, now);
     }
 }
 
--- a/src/logic/direct/plan/trade.rs
+++ b/src/logic/direct/plan/trade.rs
@@ -23,7 +23,7 @@
 /// Whether the last group that was traded in a place is still ending: the free endpoints
 /// there wait for its members.
 pub(super) fn has_pending_trade(state: &DirectState, place: &Place) -> bool {
-    let group = state.plan.trades.get(place);
+    let group = state.plan.traded_groups.get(place);
     group.is_some_and(|name| state.plan.ending.contains_key(name))
 }
 
@@ -49,17 +49,17 @@
     if changing * MAX_CHANGING_DIVISOR > all {
         return;
     }
-    if now < state.plan.traded + TRADE_INTERVAL_MS || !can_trade(state, now) {
+    if now < state.plan.last_trade + TRADE_INTERVAL_MS || !can_trade(state, now) {
         return;
     }
     let changing_places = changing_places(state);
     let free = survey::free(state);
-    let last = state.plan.weighed.take();
+    let last = state.plan.trade_cursor.take();
     let next_places = free
         .iter()
         .filter(|(p, _)| last.as_ref().is_none_or(|l| *p > l));
     for (place, free) in next_places.take(MAX_PLACES_PER_PASS) {
-        state.plan.weighed = Some(place.clone());
+        state.plan.trade_cursor = Some(place.clone());
         if changing_places.contains(place) {
             continue;
         }
@@ -81,8 +81,8 @@
 
 /// Whether groups may be traded: not before demand is known, if it is used.
 fn can_trade(state: &DirectState, now: Millis) -> bool {
-    let is_known = demand::is_known(state, now) || !state.knobs.on(Mechanism::Demand);
-    is_known && state.knobs.on(Mechanism::Trades)
+    let is_known = demand::is_known(state, now) || !state.params.is_enabled(Mechanism::Demand);
+    is_known && state.params.is_enabled(Mechanism::Trades)
 }
 
 /// Places in which a group is forming or ending.
@@ -117,7 +117,7 @@
         free,
         engine,
     } = *pool;
-    if now < state.plan.traded + TRADE_INTERVAL_MS || !can_trade(state, now) {
+    if now < state.plan.last_trade + TRADE_INTERVAL_MS || !can_trade(state, now) {
         return false;
     }
     let counts = view.counts(&place.0);
@@ -134,8 +134,8 @@
     let Some((gain, name, group)) = best else {
         return false;
     };
-    state.plan.traded = now;
-    state.plan.trades.insert(place.clone(), name.clone());
+    state.plan.last_trade = now;
+    state.plan.traded_groups.insert(place.clone(), name.clone());
     let event = LogEvent::new(LogCode::GroupTraded)
         .with("group", name)
         .with("gain", format!("{gain:.3}"));
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -16,7 +16,7 @@
     let Some(view) = state.endpoints.get(id) else {
         return COLD;
     };
-    if view.last.as_ref() == Some(model) {
+    if view.last_model.as_ref() == Some(model) {
         0
     } else if view.entry.staged.contains(model) {
         1
@@ -107,11 +107,11 @@
         .map(|d| d.value)
         .sum();
     let known = demand::is_known(state, now);
-    if value == 0 || !known || !state.knobs.on(Mechanism::Demand) {
+    if value == 0 || !known || !state.params.is_enabled(Mechanism::Demand) {
         return needs_by_share(state, engine);
     }
     let shares: u64 = engine.models.iter().map(|m| m.share).sum();
-    let loss_rate = readiness::loss_rate(state, now) / state.plan.most.max(1) as f64;
+    let loss_rate = readiness::loss_rate(state, now) / state.plan.engine_peak.max(1) as f64;
     let need = |m: &EngineModel| {
         let share = m.share as f64 / shares.max(1) as f64;
         let Some(demand) = demand.get(&m.name) else {
@@ -120,7 +120,7 @@
         let weight =
             DEMAND_FACTOR * demand.value as f64 / value as f64 + (1.0 - DEMAND_FACTOR) * share;
         let load = model_load(engine, m, demand, loss_rate);
-        let max_groups = state.plan.most / m.size;
+        let max_groups = state.plan.engine_peak / m.size;
         ModelNeed::new(weight, load.curve(max_groups))
     };
     engine.models.iter().map(need).collect()
@@ -157,7 +157,7 @@
 
 /// What each model needs by its published share of all instances.
 fn needs_by_share(state: &DirectState, engine: &EngineSpec) -> Vec<ModelNeed> {
-    let all = state.plan.most.max(1);
+    let all = state.plan.engine_peak.max(1);
     let need = |m: &EngineModel| {
         let share = m.share as f64 / 1_000.0;
         let by_share = (all as f64 * share / m.size as f64).max(f64::EPSILON);
--- a/src/logic/direct/probe_result.rs
+++ b/src/logic/direct/probe_result.rs
@@ -6,11 +6,11 @@
     /// It answers.
     Alive {
         /// When it last started, in Unix milliseconds; absent if it doesn't tell.
-        born: Option<u64>,
+        started_ms: Option<u64>,
         /// Its seat in a group.
         seat: Option<GroupSeat>,
         /// Factor on its times, in thousandths; above 1,000 it is slow.
-        pace: u64,
+        slowness: u64,
     },
     /// Nothing listens at its address.
     Refused,
--- a/src/logic/direct/queue.rs
+++ b/src/logic/direct/queue.rs
@@ -39,9 +39,9 @@
 /// Handles a request that is sent to an endpoint: removes it from its queue and counts it.
 pub(super) fn on_sent(state: &mut DirectState, now: Millis, id: u64) {
     remove(state, id);
-    if let Some(flight) = state.flights.get(&id) {
+    if let Some(flight) = state.in_flight.get(&id) {
         let late = flight.is_late(now);
-        let queue = state.lines.entry(QueueKey::of(flight)).or_default();
+        let queue = state.queues.entry(QueueKey::of(flight)).or_default();
         queue.on_sent(now, late);
     }
 }
@@ -53,11 +53,11 @@
     id: u64,
     out: &mut Vec<Effect>,
 ) {
-    let Some(flight) = state.flights.get(&id).cloned() else {
+    let Some(flight) = state.in_flight.get(&id).cloned() else {
         return;
     };
     let key = QueueKey::of(&flight);
-    let queue = state.lines.entry(key.clone()).or_default();
+    let queue = state.queues.entry(key.clone()).or_default();
     if now >= wait_end(&flight, id, queue.is_effective(now)) {
         if flight.is_late(now) {
             queue.on_refused(now);
@@ -70,8 +70,8 @@
     if !active && !choose::has_candidate(state, &flight) {
         return finish::give_up(state, now, id, "no endpoint can serve it", out);
     }
-    let place = (flight.turn, flight.priority, id);
-    if fits || flight.turn == Precedence::Resumed {
+    let place = (flight.precedence, flight.priority, id);
+    if fits || flight.precedence == Precedence::Resumed {
         insert(state, &key, place);
         return;
     }
@@ -101,41 +101,41 @@
 }
 
 fn insert(state: &mut DirectState, key: &QueueKey, place: (Precedence, u8, u64)) {
-    if let Some(queue) = state.lines.get_mut(key) {
+    if let Some(queue) = state.queues.get_mut(key) {
         queue.waiting.insert(place);
     }
 }
 
 /// The oldest of the late requests in a queue.
 fn oldest_late(state: &DirectState, now: Millis, key: &QueueKey) -> Option<u64> {
-    let queue = state.lines.get(key)?;
-    let late = |id: &u64| state.flights.get(id).is_some_and(|f| f.is_late(now));
+    let queue = state.queues.get(key)?;
+    let late = |id: &u64| state.in_flight.get(id).is_some_and(|f| f.is_late(now));
     queue.waiting.iter().map(|(.., id)| *id).filter(late).min()
 }
 
 /// Removes a request from its queue, if it waits in one.
 pub(super) fn remove(state: &mut DirectState, id: u64) {
-    let Some(flight) = state.flights.get(&id) else {
+    let Some(flight) = state.in_flight.get(&id) else {
         return;
     };
-    let place = (flight.turn, flight.priority, id);
-    if let Some(queue) = state.lines.get_mut(&QueueKey::of(flight)) {
+    let place = (flight.precedence, flight.priority, id);
+    if let Some(queue) = state.queues.get_mut(&QueueKey::of(flight)) {
         queue.waiting.remove(&place);
     }
 }
 
 /// Sends waiting requests as far as endpoints have room.
 pub(super) fn send_waiting(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let waiting = state.lines.iter().filter(|(_, l)| !l.waiting.is_empty());
+    let waiting = state.queues.iter().filter(|(_, l)| !l.waiting.is_empty());
     let keys: Vec<QueueKey> = waiting.map(|(key, _)| key.clone()).collect();
     for key in keys {
         for id in send_order(state, now, &key) {
             let sent = send::try_send(state, now, id, out);
             // A resumed request skips endpoints that it was sent to, which others may use.
             let resumed = state
-                .flights
+                .in_flight
                 .get(&id)
-                .is_some_and(|f| f.turn == Precedence::Resumed);
+                .is_some_and(|f| f.precedence == Precedence::Resumed);
             if !sent && !resumed {
                 break;
             }
@@ -146,14 +146,14 @@
 /// Requests of one queue in the order in which they are sent: by turn, the late ones last,
 /// then by priority and arrival.
 fn send_order(state: &DirectState, now: Millis, key: &QueueKey) -> Vec<u64> {
-    let Some(queue) = state.lines.get(key) else {
+    let Some(queue) = state.queues.get(key) else {
         return Vec::new();
     };
-    let late = |id: &u64| state.flights.get(id).is_some_and(|f| f.is_late(now));
+    let late = |id: &u64| state.in_flight.get(id).is_some_and(|f| f.is_late(now));
     let sorted = queue
         .waiting
         .iter()
-        .map(|(turn, priority, id)| (*turn, late(id), *priority, *id));
+        .map(|(precedence, priority, id)| (*precedence, late(id), *priority, *id));
     let mut sorted: Vec<_> = sorted.collect();
     sorted.sort_unstable();
     sorted.into_iter().map(|(.., id)| id).collect()
@@ -162,7 +162,7 @@
 /// Ends the wait of requests whose time to wait is over, in the queues and among those held
 /// until the routing is known.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let waiting = state.lines.values().flat_map(|l| l.waiting.iter());
+    let waiting = state.queues.values().flat_map(|l| l.waiting.iter());
     let waiting: Vec<u64> = waiting.map(|(.., id)| *id).collect();
     for id in waiting {
         if is_wait_over(state, now, id) {
@@ -171,11 +171,13 @@
         }
     }
     state
-        .lines
+        .queues
         .retain(|_, queue| queue.has_sent(now) || !queue.waiting.is_empty());
     let held = |(at, request): &(Millis, DirectRequest)| now < at + max_wait(request.wait_ms);
-    let (held, over) = std::mem::take(&mut state.early).into_iter().partition(held);
-    state.early = held;
+    let (held, over) = std::mem::take(&mut state.held_requests)
+        .into_iter()
+        .partition(held);
+    state.held_requests = held;
     for (_, mut request) in over {
         let waited = max_wait(request.wait_ms);
         request.wait_ms = request.wait_ms.map(|wait| wait - waited);
@@ -184,10 +186,10 @@
 }
 
 fn is_wait_over(state: &mut DirectState, now: Millis, id: u64) -> bool {
-    let Some(flight) = state.flights.get(&id) else {
+    let Some(flight) = state.in_flight.get(&id) else {
         return false;
     };
-    let queue = state.lines.get_mut(&QueueKey::of(flight));
+    let queue = state.queues.get_mut(&QueueKey::of(flight));
     let effective = queue.is_none_or(|q| q.is_effective(now));
     now >= wait_end(flight, id, effective)
 }
@@ -195,9 +197,9 @@
 /// Holds a request until the routing and the endpoint list are known; false if there are too
 /// many.
 pub(super) fn hold(state: &mut DirectState, now: Millis, request: &DirectRequest) -> bool {
-    let has_room = state.early.len() < MAX_HELD;
+    let has_room = state.held_requests.len() < MAX_HELD;
     if has_room {
-        state.early.push((now, request.clone()));
+        state.held_requests.push((now, request.clone()));
     }
     has_room
 }
@@ -207,7 +209,7 @@
     if state.routing.is_none() || !state.listed || state.pause.waiting_since.is_some() {
         return;
     }
-    for (at, request) in std::mem::take(&mut state.early) {
+    for (at, request) in std::mem::take(&mut state.held_requests) {
         accept::admit(state, now, at, request, out);
     }
 }
--- a/src/logic/direct/rate_limit.rs
+++ b/src/logic/direct/rate_limit.rs
@@ -41,8 +41,8 @@
     out: &mut Vec<Effect>,
 ) {
     let sent = run.and_then(|run| {
-        let flight = state.flights.get(state.runs.get(&run)?)?;
-        flight.run.as_ref().map(|r| r.since)
+        let flight = state.in_flight.get(state.runs.get(&run)?)?;
+        flight.run.as_ref().map(|r| r.sent_at)
     });
     match rate {
         Some(rate) => on_limit_named(state, now, id, rate, out),
@@ -87,7 +87,7 @@
     out: &mut Vec<Effect>,
 ) {
     let gap = request_gap(state, id, rate);
-    let jitter = state.random(gap.unwrap_or(0));
+    let jitter = state.random_below(gap.unwrap_or(0));
     let Some(view) = state.endpoints.get_mut(id) else {
         return;
     };
@@ -153,10 +153,13 @@
 /// Time between two requests of this router to an endpoint with a limit; none if this
 /// router holds no share of the limit.
 fn request_gap(state: &DirectState, id: &InstanceId, rate: RequestRate) -> Option<Millis> {
-    let routers = state.routers.highest().max(state.peers.len() as u64 + 1);
+    let routers = state
+        .router_peak
+        .highest()
+        .max(state.peers.len() as u64 + 1);
     let max = 1 + HOLDERS_PER_RATE * rate.milli() / 1_000;
     let holders = max.min(routers);
-    let own = holder_rank(id, &state.me);
+    let own = holder_rank(id, &state.own_id);
     let before = state
         .peers
         .keys()
--- a/src/logic/direct/retry_terms.rs
+++ b/src/logic/direct/retry_terms.rs
@@ -7,9 +7,9 @@
     /// Window in which retries are counted, in milliseconds.
     pub window: Millis,
     /// Retries per thousand requests.
-    pub ratio: u64,
+    pub ratio_per_mille: u64,
     /// Further retries of all routers together, in thousandths of a retry.
-    pub extra: u64,
+    pub extra_per_mille: u64,
     /// Routers that share the further retries.
     pub routers: u64,
 }
@@ -19,8 +19,8 @@
     pub fn new(params: &DirectParams, routers: u64) -> Self {
         Self {
             window: params.retry_window,
-            ratio: params.retry_ratio,
-            extra: params.retry_extra,
+            ratio_per_mille: params.retry_ratio,
+            extra_per_mille: params.retry_extra,
             routers,
         }
     }
--- a/src/logic/direct/retry_window.rs
+++ b/src/logic/direct/retry_window.rs
@@ -29,19 +29,19 @@
 
 impl RetryWindow {
     /// Counts a request.
-    pub fn request(&mut self, now: Millis, window: Millis) {
+    pub fn record_request(&mut self, now: Millis, window: Millis) {
         self.slot(now, window).requests += 1;
     }
 
     /// Counts a retry if the budget allows it; false if it doesn't.
-    pub fn retry(&mut self, now: Millis, terms: &RetryBounds) -> bool {
-        self.slot(now, terms.window);
+    pub fn try_retry(&mut self, now: Millis, bounds: &RetryBounds) -> bool {
+        self.slot(now, bounds.window);
         let (requests, retries) = self.counts();
-        let part = terms.extra / terms.routers.max(MIN_ROUTERS);
-        let allowed = requests * terms.ratio + part;
+        let part = bounds.extra_per_mille / bounds.routers.max(MIN_ROUTERS);
+        let allowed = requests * bounds.ratio_per_mille + part;
         let paid = (retries + 1) * 1_000 <= allowed;
         if paid {
-            self.slot(now, terms.window).retries += 1;
+            self.slot(now, bounds.window).retries += 1;
         }
         paid
     }
--- a/src/logic/direct/run_request.rs
+++ b/src/logic/direct/run_request.rs
@@ -26,5 +26,5 @@
     pub stream: bool,
     /// Whether to use no pooled connection that the endpoint may be closing, as the request
     /// can't be repeated.
-    pub careful: bool,
+    pub avoid_stale: bool,
 }
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -13,7 +13,7 @@
 
 /// Priority at the endpoint: that of the request, plus one unless its stream is resumed.
 fn endpoint_priority(flight: &InFlightRequest) -> u8 {
-    (flight.priority + flight.turn as u8).min(MAX_PRIORITY)
+    (flight.priority + flight.precedence as u8).min(MAX_PRIORITY)
 }
 
 /// How long a partly delivered stream waits for a head that resumes it. Groups form again
@@ -22,7 +22,7 @@
 
 /// Sends a request to the best endpoint, enqueues it, or ends it.
 pub(super) fn send_or_wait(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
-    let Some(flight) = state.flights.get(&id) else {
+    let Some(flight) = state.in_flight.get(&id) else {
         return;
     };
     if now >= flight.deadline {
@@ -40,34 +40,34 @@
     id: u64,
     out: &mut Vec<Effect>,
 ) -> bool {
-    let Some(flight) = state.flights.get(&id).cloned() else {
+    let Some(flight) = state.in_flight.get(&id).cloned() else {
         return false;
     };
     let Some(to) = choose::pick(state, now, &flight) else {
         return false;
     };
     queue::on_sent(state, now, id);
-    let run = state.number();
+    let run = state.next_number();
     let version = state.routing.as_ref().map_or(0, |r| r.version);
     let Some(view) = state.endpoints.get_mut(&to) else {
         return false;
     };
     if view.running == 0 {
-        view.heard = view.heard.max(now);
+        view.active_at = view.active_at.max(now);
     }
     rate_limit::on_sent(view, now);
     view.running += 1;
-    view.unread += u64::from(flight.prompt);
+    view.unread_tokens += u64::from(flight.prompt_tokens);
     let (addr, epoch) = (view.entry.addr, view.epoch());
     let event = LogEvent::new(LogCode::RequestSent)
         .with("request", &flight.label)
         .with("fingerprint", flight.fingerprint)
         .with("endpoint", &to)
         .with("running", view.running)
-        .with("turn", format!("{:?}", flight.turn))
+        .with("turn", format!("{:?}", flight.precedence))
         .with("waited", now.saturating_sub(flight.event_at))
         .with("limit", view.limit)
-        .with("beat_age", now.saturating_sub(view.beat_at))
+        .with("beat_age", now.saturating_sub(view.heartbeat_at))
         .with("version", version);
     out.push(Effect::Log(event));
     out.push(Effect::Direct(DirectEffect::Run(Box::new(RunRequest {
@@ -80,19 +80,19 @@
         priority: endpoint_priority(&flight),
         last_event: flight.last_event,
         stream: flight.route.kind == RouteKind::Streaming,
-        careful: !flight.route.repeatable(),
+        avoid_stale: !flight.route.repeatable(),
     }))));
     state.runs.insert(run, id);
-    if let Some(flight) = state.flights.get_mut(&id) {
+    if let Some(flight) = state.in_flight.get_mut(&id) {
         flight.tried.push((to.clone(), epoch));
         flight.runs += 1;
         flight.run = Some(Run {
             id: run,
-            at: to,
+            endpoint: to,
             epoch,
-            since: now,
+            sent_at: now,
             begun: false,
-            moved: false,
+            has_event: false,
         });
     }
     true
@@ -110,7 +110,7 @@
     why: &'static str,
     out: &mut Vec<Effect>,
 ) {
-    let Some(flight) = state.flights.get_mut(&id) else {
+    let Some(flight) = state.in_flight.get_mut(&id) else {
         return;
     };
     if !may_have_run {
@@ -126,13 +126,13 @@
     if !allowed || !below_max_sends || !spend_retry(state, now, &service) {
         return finish::give_up(state, now, id, why, out);
     }
-    let waits = state.knobs.on(Mechanism::ResumeWait);
+    let waits = state.params.is_enabled(Mechanism::ResumeWait);
     let window = state.retries.get(&service);
     let (requests, retries) = window.map_or((0, 0), RetryWindow::counts);
     let age = state.age(now);
-    if let Some(flight) = state.flights.get_mut(&id) {
+    if let Some(flight) = state.in_flight.get_mut(&id) {
         if flight.head_sent {
-            flight.turn = Precedence::Resumed;
+            flight.precedence = Precedence::Resumed;
         }
         if flight.head_sent && waits {
             flight.wait_until = flight.wait_until.max(now + RESUME_WAIT_MS);
@@ -154,10 +154,10 @@
 /// Spends a retry of the service's budget; false if the budget has none left.
 fn spend_retry(state: &mut DirectState, now: Millis, service: &std::sync::Arc<str>) -> bool {
     peers::record_routers(state, now);
-    let terms = RetryBounds::new(&state.knobs, state.routers.highest());
+    let bounds = RetryBounds::new(&state.params, state.router_peak.highest());
     let window = state.retries.entry(service.clone()).or_default();
     let enabled = state.retries_from.is_some_and(|from| now >= from);
-    let paid = enabled && window.retry(now, &terms);
+    let paid = enabled && window.try_retry(now, &bounds);
     if paid {
         state.retries_paid += 1;
     } else {
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -27,33 +27,35 @@
 
 /// Finds silent heads, reports suspected ones to the planner and moves streams away.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let min_limit = state.knobs.silence_ms;
-    let early = state.knobs.on(Mechanism::EarlyProbes);
+    let min_limit = state.params.silence_ms;
+    let early = state.params.is_enabled(Mechanism::EarlyProbes);
     let mut silent = Vec::new();
     let mut suspected = Vec::new();
     for (id, view) in &mut state.endpoints {
         if view.running == 0 {
             // No request of this router waits for it any more.
-            let expired = view.silent.filter(|since| now >= since + SILENCE_EXPIRY_MS);
-            view.silent = view.silent.filter(|_| expired.is_none());
+            let expired = view
+                .silent_since
+                .filter(|since| now >= since + SILENCE_EXPIRY_MS);
+            view.silent_since = view.silent_since.filter(|_| expired.is_none());
             continue;
         }
         if view.entry.domain.is_empty() {
             continue;
         }
-        let silence = now.saturating_sub(view.heard);
-        let suspect = silence >= SUSPECT_MS.max(view.pause * SUSPECT_PERCENT / 100)
-            && now >= view.warned + REPORT_INTERVAL_MS;
+        let silence = now.saturating_sub(view.active_at);
+        let suspect = silence >= SUSPECT_MS.max(view.longest_pause * SUSPECT_PERCENT / 100)
+            && now >= view.reported_at + REPORT_INTERVAL_MS;
         if suspect && early {
-            view.warned = now;
+            view.reported_at = now;
             suspected.push(id.clone());
         }
-        let limit = min_limit.max((view.pause * SILENCE_FACTOR).min(min_limit * 5));
+        let limit = min_limit.max((view.longest_pause * SILENCE_FACTOR).min(min_limit * 5));
         if silence < limit {
             continue;
         }
-        if view.silent.is_none() {
-            view.silent = Some(now);
+        if view.silent_since.is_none() {
+            view.silent_since = Some(now);
             let event = LogEvent::new(LogCode::EndpointSilent)
                 .with("endpoint", id)
                 .with("still", silence)
@@ -61,16 +63,19 @@
                 .with("running", view.running);
             out.push(Effect::Log(event));
         }
-        silent.push((id.clone(), silence >= limit * MOVE_FACTOR || !view.heads()));
+        silent.push((
+            id.clone(),
+            silence >= limit * MOVE_FACTOR || !view.is_open_head(),
+        ));
     }
     for id in suspected {
-        if state.plan.duty.holds(now) {
+        if state.plan.lease.holds(now) {
             plan::on_head_silent(state, now, &id, out);
         } else {
             peers::notify_silence(state, &id, out);
         }
     }
-    if !state.knobs.on(Mechanism::Silence) {
+    if !state.params.is_enabled(Mechanism::Silence) {
         return;
     }
     move_from_ended_groups(state, now, out);
@@ -85,10 +90,10 @@
 fn move_from_ended_groups(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let ended = |f: &super::InFlightRequest| {
         let run = f.run.as_ref()?;
-        let view = state.endpoints.get(&run.at)?;
-        (run.epoch != view.epoch() && view.heads()).then(|| run.at.clone())
+        let view = state.endpoints.get(&run.endpoint)?;
+        (run.epoch != view.epoch() && view.is_open_head()).then(|| run.endpoint.clone())
     };
-    let ids: std::collections::BTreeSet<_> = state.flights.values().filter_map(ended).collect();
+    let ids: std::collections::BTreeSet<_> = state.in_flight.values().filter_map(ended).collect();
     for id in ids {
         move_streams(state, now, &id, true, out);
     }
@@ -108,19 +113,19 @@
         let here = f
             .run
             .as_ref()
-            .is_some_and(|r| r.at == *from && (!earlier_group || r.epoch != epoch));
+            .is_some_and(|r| r.endpoint == *from && (!earlier_group || r.epoch != epoch));
         let has_attempts = f.runs < f.route.attempts;
         here && has_attempts && f.route.repeatable() && f.route.kind == RouteKind::Streaming
     };
     let streams: Vec<u64> = state
-        .flights
+        .in_flight
         .iter()
         .filter(|(_, f)| movable(f))
         .map(|(id, _)| *id)
         .collect();
     for id in streams {
         // If no other endpoint can take it, it stays: the silent one may still go on.
-        let flight = state.flights.get(&id).cloned();
+        let flight = state.in_flight.get(&id).cloned();
         if flight.and_then(|f| choose::pick(state, now, &f)).is_none() {
             continue;
         }
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -11,15 +11,15 @@
     if state.started.is_none() {
         state.started = Some(now);
         state.ticked_at = now;
-        state.drained_at = now;
+        state.previous_tick = now;
     }
     pause::detect(state, now, out);
     match event {
         Event::Stop => on_stop(state, now),
-        Event::Store { call, result } if state.presence.call == Some(call) => {
+        Event::Store { call, result } if state.registration.call == Some(call) => {
             peers::on_store_reply(state, now, &result);
         }
-        Event::Store { call, result } if state.crashes.keep.call == Some(call) => {
+        Event::Store { call, result } if state.crashes.store.call == Some(call) => {
             crashes::on_store_reply(state, now, &result);
         }
         Event::Store { call, result } => plan::on_store_reply(state, now, call, result, out),
@@ -47,11 +47,11 @@
 ) {
     match event {
         DirectEvent::Routing(routing) => {
-            state.digests.routing_at = state.drained_at;
+            state.digests.routing_at = state.previous_tick;
             on_routing(state, routing, out);
         }
         DirectEvent::StoreBack => peers::notify_store_back(state, out),
-        DirectEvent::RoutingRead => state.digests.routing_at = state.drained_at,
+        DirectEvent::RoutingRead => state.digests.routing_at = state.previous_tick,
         DirectEvent::RoutingChecked { read_number } => {
             pause::on_routing_checked(state, read_number)
         }
@@ -59,14 +59,14 @@
         DirectEvent::ListRead { at, entries } => {
             // The entries of an era's first reading are no updates, so that the updates begin
             // after its position.
-            let before = if state.listed_once && state.listed_at.era == at.era {
+            let before = if state.list_applied && state.listed_at.era == at.era {
                 state.listed_at
             } else {
                 at
             };
             state.listed_at = state.listed_at.max(at);
             endpoints::on_list_read(state, now, entries, out);
-            state.digests.skipped = false;
+            state.digests.list_incomplete = false;
             digests::on_list_read(state, now, before, at);
         }
         DirectEvent::ListChanges { at, changes } => {
@@ -130,11 +130,11 @@
 }
 
 fn on_stop(state: &mut DirectState, now: Millis) {
-    state.stopping.get_or_insert(now);
+    state.stop_since.get_or_insert(now);
 }
 
 fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    state.drained_at = state.ticked_at;
+    state.previous_tick = state.ticked_at;
     state.ticked_at = now;
     pause::on_tick(state, now, out);
     finish::on_tick(state, now, out);
@@ -159,18 +159,18 @@
 /// Advances the shutdown: stops accepting callers, then exits once all requests are answered or
 /// the grace time is nearly over.
 fn advance_shutdown(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
-    let Some(since) = state.stopping else {
+    let Some(since) = state.stop_since else {
         return;
     };
-    let part = state.knobs.grace_ms / 16;
-    let answered = state.flights.is_empty() && state.early.is_empty();
-    match state.ending {
+    let part = state.params.grace_ms / 16;
+    let answered = state.in_flight.is_empty() && state.held_requests.is_empty();
+    match state.shutdown {
         ShutdownStage::Accepting if now >= since + CLOSE_SIXTEENTHS * part => {
-            state.ending = ShutdownStage::Draining;
+            state.shutdown = ShutdownStage::Draining;
             out.push(Effect::Direct(DirectEffect::StopAccepting));
         }
         ShutdownStage::Draining if answered || now >= since + EXIT_SIXTEENTHS * part => {
-            state.ending = ShutdownStage::Done;
+            state.shutdown = ShutdownStage::Done;
             out.push(Effect::Exit);
         }
         _ => {}
@@ -179,9 +179,9 @@
 
 /// Reports a change of this router's readiness to the balancer.
 fn notify_readiness(state: &mut DirectState, out: &mut Vec<Effect>) {
-    let ready = state.routing.is_some() && state.listed && state.stopping.is_none();
-    if ready != state.ready {
-        state.ready = ready;
+    let ready = state.routing.is_some() && state.listed && state.stop_since.is_none();
+    if ready != state.reported_ready {
+        state.reported_ready = ready;
         out.push(Effect::Direct(DirectEffect::Ready(ready)));
     }
 }
--- a/src/logic/direct/store_restore.rs
+++ b/src/logic/direct/store_restore.rs
@@ -18,7 +18,7 @@
         .with("before", before)
         .with("listed_upto", state.listed_at.revision);
     out.push(Effect::Log(event));
-    state.presence = Registration::default();
+    state.registration = Registration::default();
     let digests = &mut state.digests;
     digests.pending.clear();
     digests.recent.clear();
--- a/src/logic/direct/tree.rs
+++ b/src/logic/direct/tree.rs
@@ -34,10 +34,10 @@
 /// Its own address is left empty, as it is never needed.
 fn order(state: &DirectState, root: &InstanceId, tree: u8) -> (Vec<Option<SocketAddr>>, usize) {
     let others = state.peers.iter().map(|(id, addr)| (id, Some(*addr)));
-    let all = others.chain([(&state.me, None)]);
+    let all = others.chain([(&state.own_id, None)]);
     let mut ranked: Vec<_> = all
         .filter(|(id, _)| *id != root)
-        .map(|(id, addr)| (rank(root, tree, id), addr, *id == state.me))
+        .map(|(id, addr)| (rank(root, tree, id), addr, *id == state.own_id))
         .collect();
     ranked.sort_unstable();
     let place = ranked.iter().position(|(_, _, me)| *me);
--- a/src/logic/direct/update_batch.rs
+++ b/src/logic/direct/update_batch.rs
@@ -11,12 +11,12 @@
     /// Position of the list up to which they reach.
     pub after: StorePosition,
     /// The updates, in order.
-    pub news: Vec<EndpointUpdate>,
+    pub updates: Vec<EndpointUpdate>,
 }
 
 impl UpdateBatch {
     /// Upper bound for the encoded size of its updates, in bytes.
     pub(super) fn bytes(&self) -> usize {
-        self.news.iter().map(EndpointUpdate::bytes).sum()
+        self.updates.iter().map(EndpointUpdate::bytes).sum()
     }
 }
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -160,11 +160,11 @@
     let positive_or = |value: u64, default| if value > 0 { value } else { default };
     DirectParams {
         lease_ms: ini.number("planner", "lease_ms", d.lease_ms, 1_000..=60_000, ms),
-        plan_ms: ini.number("planner", "plan_ms", d.plan_ms, 1..=10_000, ms),
+        planning_ms: ini.number("planner", "plan_ms", d.planning_ms, 1..=10_000, ms),
         silence_ms: ini.number("planner", "silence_ms", d.silence_ms, 20..=60_000, ms),
         stall_ms: ini.scaled_number("planner", "stall_ms", d.stall_ms, 1, ms),
-        order_ms: ini.number("planner", "order_ms", d.order_ms, 50..=60_000, ms),
-        shun_ms: ini.number("routing", "shun_ms", d.shun_ms, 0..=600_000, ms),
+        reorder_ms: ini.number("planner", "order_ms", d.reorder_ms, 50..=60_000, ms),
+        backoff_ms: ini.number("routing", "shun_ms", d.backoff_ms, 0..=600_000, ms),
         again_ms: ini.number("routing", "again_ms", d.again_ms, 0..=600_000, ms),
         retry_ratio: ini.scaled_number(
             "retries",
@@ -177,7 +177,7 @@
         // A window of length 0 would count no earlier retries: the default is used instead.
         retry_window: positive_or(window_ms, d.retry_window),
         grace_ms: ini.scaled_number("stop", "grace_s", d.grace_ms, 1_000, "seconds"),
-        off: read_disabled(ini),
+        disabled: read_disabled(ini),
     }
 }
 
--- a/tests/direct/adapter.rs
+++ b/tests/direct/adapter.rs
@@ -102,7 +102,7 @@
         (read.host.as_str(), read.path.as_str()),
         ("a.example", "/x/1")
     );
-    assert_eq!((read.prompt, read.answer), (1_460, 33));
+    assert_eq!((read.prompt_tokens, read.answer_tokens), (1_460, 33));
     assert_eq!(read.key.as_deref(), Some("k1"));
     assert_eq!(read.wait_ms, Some(8_000));
 }
@@ -129,7 +129,7 @@
 fn a_request_that_is_sent_again_has_the_same_fingerprint() {
     let fingerprint = |head: &http::request::Parts, body: &[u8], account| {
         let read = (dialect().request)(head, body);
-        read.content.by(account)
+        read.fingerprint.for_account(account)
     };
     let first = fingerprint(&caller_request(), b"body", Some("ann"));
     let mut second = caller_request();
@@ -154,7 +154,7 @@
         priority: 2,
         last_event: Some(12),
         stream: true,
-        careful: false,
+        avoid_stale: false,
     };
     let sent = (dialect().run)(&run, &caller_request(), Bytes::from_static(b"body"));
     let text = |name: &str| {
--- a/tests/direct/answers.rs
+++ b/tests/direct/answers.rs
@@ -43,7 +43,7 @@
     let mut router = Router::new(vec![plain(1), plain(2)]);
     let first = run(&router.ask(1, "/once/x"));
     assert!(
-        first.careful,
+        first.avoid_stale,
         "no connection that the endpoint may be closing"
     );
     let shed = RunPart::Complete {
@@ -213,7 +213,7 @@
         .state()
         .endpoints
         .values_mut()
-        .for_each(|v| v.silent = Some(1_000));
+        .for_each(|v| v.silent_since = Some(1_000));
     assert!(!router
         .ask(2, "/stream/x")
         .iter()
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -29,7 +29,7 @@
 /// A request that crashes endpoints: always the same content, under the given number.
 fn fatal(id: u64) -> DirectRequest {
     DirectRequest {
-        content: Fingerprint::of(&[b"fatal"]),
+        fingerprint: Fingerprint::of(&[b"fatal"]),
         ..request(id, "/stream/x")
     }
 }
@@ -167,9 +167,9 @@
         let sent = router.ask_for(fatal(id));
         router.part(run(&sent).run, RunPart::Broken);
         let alive = ProbeResult::Alive {
-            born: None,
+            started_ms: None,
             seat: None,
-            pace: 1_000,
+            slowness: 1_000,
         };
         router.looked(run(&sent).to.as_str(), alive);
         router.pass(2_000);
@@ -187,13 +187,16 @@
     let sent = router.ask_for(fatal(1));
     router.part(run(&sent).run, RunPart::Broken);
     let alive = ProbeResult::Alive {
-        born: Some(200),
+        started_ms: Some(200),
         seat: None,
-        pace: 1_000,
+        slowness: 1_000,
     };
     router.looked(run(&sent).to.as_str(), alive);
     let table = &router.state().crashes.table;
-    assert_eq!(table.suspected(&fatal(1).content.by(Some("ann"))), 1);
+    assert_eq!(
+        table.suspected(&fatal(1).fingerprint.for_account(Some("ann"))),
+        1
+    );
 }
 
 /// Guards against refusing a harmless request that was in flight at two crashes by chance and
@@ -335,7 +338,7 @@
         born: None,
     };
     let report = CrashReport {
-        request: fatal(1).content,
+        request: fatal(1).fingerprint,
         record: CrashRecord {
             crashes: (0..3).map(crash).collect(),
             ..CrashRecord::default()
--- a/tests/direct/demand.rs
+++ b/tests/direct/demand.rs
@@ -46,7 +46,7 @@
     let traded: Vec<String> = router
         .state()
         .plan
-        .trades
+        .traded_groups
         .values()
         .map(|g| g.to_string())
         .collect();
@@ -59,7 +59,7 @@
     let mut router = Router::planner(fleet());
     keep_busy(&mut router, 0.6, 1.8, 4);
     router.pass(1_000);
-    assert!(router.state().plan.trades.is_empty());
+    assert!(router.state().plan.traded_groups.is_empty());
 }
 
 #[test]
@@ -72,7 +72,7 @@
     keep_busy(&mut router, 2.0, 0.4, 4);
     router.pass(1_000);
     assert!(closed(&router.take()).is_empty());
-    assert!(router.state().plan.trades.is_empty());
+    assert!(router.state().plan.traded_groups.is_empty());
     let part = |model: &str, requests: u64| ModelDemand {
         requests: requests * 1_000,
         prompt: requests * 1_000,
@@ -91,7 +91,7 @@
         },
     });
     router.pass(300);
-    assert!(!router.state().plan.trades.is_empty());
+    assert!(!router.state().plan.traded_groups.is_empty());
 }
 
 /// Requests for the large model in the first report that a router has sent towards the planner,
@@ -201,7 +201,12 @@
         let mut router = Router::planner(entries);
         keep_busy(&mut router, 5.0, 0.2, 3);
         assert_eq!(router.state().plan.forming.len(), 1, "the group in d2");
-        let traded = router.state().plan.trades.keys().filter(|p| &*p.1 == "d1");
+        let traded = router
+            .state()
+            .plan
+            .traded_groups
+            .keys()
+            .filter(|p| &*p.1 == "d1");
         assert_eq!(traded.count(), trades, "{groups} groups elsewhere");
     }
 }
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -83,7 +83,7 @@
     for count in [2, 9, 52, 300] {
         let names = names(count);
         let mut planner = Router::named("r0", &names, open_group("g", [1, 2, 3]));
-        planner.state().plan.duty.holder = None;
+        planner.state().plan.lease.holder = None;
         planner.pass(400);
         assert!(planner.holds());
         let others = names.iter().enumerate().skip(1);
@@ -159,7 +159,7 @@
 fn digests_of_a_new_planner_begin_after_its_first_reading() {
     let mut router = follower();
     let mut fresh = Router::bare();
-    fresh.state().me = InstanceId::new("r0");
+    fresh.state().own_id = InstanceId::new("r0");
     fresh.tell(DirectEvent::Routing(routing(1).into()));
     fresh.tell(DirectEvent::ListRead {
         at: at(FENCE + 5),
@@ -400,7 +400,7 @@
     hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
     router.pass(1_300);
     router.take();
-    router.state().plan.duty.holder = None;
+    router.state().plan.lease.holder = None;
     router.tell(DirectEvent::ListChanges {
         at: at(FENCE + 1),
         changes: Vec::new(),
@@ -421,7 +421,7 @@
     }];
     hear(&mut router, received);
     router.take();
-    router.state().plan.duty.holder = None;
+    router.state().plan.lease.holder = None;
     router.pass(1_000);
     assert!(router.holds());
     let mut sent = router.said().into_iter();
@@ -436,15 +436,15 @@
 #[test]
 fn a_router_without_callers_knows_that_others_have_some() {
     let mut router = follower();
-    router.state().plan.first = true;
-    assert!(!router.state().plan.traffic);
+    router.state().plan.first_start = true;
+    assert!(!router.state().plan.has_traffic);
     let mut received = digest(1, FENCE, FENCE, Vec::new());
     received.demand = vec![ModelDemand {
         requests: 1,
         ..ModelDemand::none(&MODEL.into())
     }];
     hear(&mut router, received);
-    assert!(router.state().plan.traffic);
+    assert!(router.state().plan.has_traffic);
 }
 
 #[test]
@@ -468,7 +468,7 @@
 fn many_changes_go_in_several_digests_and_leave_no_gap() {
     let entries = || (1..=24).map(|n| engine(n, None)).collect::<Vec<_>>();
     let mut planner = Router::named("r0", &names(2), entries());
-    planner.state().plan.duty.holder = None;
+    planner.state().plan.lease.holder = None;
     planner.pass(400);
     planner.take();
     for n in 1..=14u16 {
@@ -516,7 +516,7 @@
 #[test]
 fn a_digest_with_all_the_updates_that_it_may_hold_fits_a_datagram() {
     let mut planner = Router::named("r0", &names(2), Vec::new());
-    planner.state().plan.duty.holder = None;
+    planner.state().plan.lease.holder = None;
     planner.pass(400);
     let named = |n| {
         let (id, entry) = longest_entry();
@@ -546,7 +546,7 @@
 /// which are new, are leaving, or are gone.
 fn longest_datagrams(count: usize) -> [usize; 3] {
     let mut planner = Router::named("r0", &names(2), Vec::new());
-    planner.state().plan.duty.holder = None;
+    planner.state().plan.lease.holder = None;
     planner.pass(400);
     let named = |entry: &Option<EndpointEntry>| -> Vec<_> {
         let (id, _) = longest_entry();
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -59,7 +59,7 @@
     pub fn bare() -> Self {
         let me = InstanceId::new("r1");
         let mut state = DirectState::new(me, "h1", 5, DirectParams::default());
-        state.addr = Some(addr(900));
+        state.own_addr = Some(addr(900));
         state.retries_from = Some(0);
         Self {
             node: Node::Direct(Box::new(state)),
@@ -79,9 +79,9 @@
     ) -> Self {
         let mut router = Self::bare();
         let state = router.state();
-        state.me = InstanceId::new(me);
-        state.plan.duty.holder = Some(routers[0].to_string());
-        state.plan.duty.watched = true;
+        state.own_id = InstanceId::new(me);
+        state.plan.lease.holder = Some(routers[0].to_string());
+        state.plan.lease.watched = true;
         for (n, id) in routers
             .iter()
             .enumerate()
@@ -96,7 +96,7 @@
     /// A router that has the routing and the list, and holds the planner lease.
     pub fn planner(entries: Vec<(InstanceId, EndpointEntry)>) -> Self {
         let mut router = Self::new(entries);
-        router.state().plan.traffic = true;
+        router.state().plan.has_traffic = true;
         router.pass(400);
         assert!(router.holds(), "the planner lease was not taken");
         router
@@ -104,7 +104,7 @@
 
     pub fn holds(&mut self) -> bool {
         let now = self.now;
-        self.state().plan.duty.holds(now)
+        self.state().plan.lease.holds(now)
     }
 
     pub fn state(&mut self) -> &mut DirectState {
@@ -286,15 +286,15 @@
 pub fn request(id: u64, path: &str) -> DirectRequest {
     DirectRequest {
         id,
-        content: Fingerprint::of(&[&id.to_be_bytes()]),
+        fingerprint: Fingerprint::of(&[&id.to_be_bytes()]),
         label: format!("q{id}"),
         host: "a.example".to_string(),
         path: path.to_string(),
         key: Some("key-1".to_string()),
         wait_ms: Some(5_000),
         model: Some(MODEL.into()),
-        prompt: 100,
-        answer: 50,
+        prompt_tokens: 100,
+        answer_tokens: 50,
         last_event: None,
     }
 }
@@ -315,7 +315,7 @@
             id += 1;
             let mut asked = request(id, "/stream/x");
             asked.model = Some((*model).into());
-            asked.prompt = 1_000;
+            asked.prompt_tokens = 1_000;
             router.tell(DirectEvent::Request(Box::new(asked)));
             let sent = router.take().into_iter().find_map(|e| match e {
                 DirectEffect::Run(run) => Some(run.run),
--- a/tests/direct/idle.rs
+++ b/tests/direct/idle.rs
@@ -63,7 +63,7 @@
     assert_eq!(events.len(), 2, "{events:?}");
     assert!(events[0].contains("reason=\"waits\""), "{events:?}");
     let now = router.now;
-    let metrics = router.state().figures(now);
+    let metrics = router.state().metrics(now);
     let waits = metrics.iter().find(|(name, _)| *name == "idle_waits");
     assert_eq!(waits, Some(&("idle_waits", 2)));
 }
--- a/tests/direct/lag.rs
+++ b/tests/direct/lag.rs
@@ -29,7 +29,7 @@
     )));
     let spares = || (1..=3).map(|n| engine(n, None)).collect();
     list(&mut router, FENCE - 1, spares());
-    router.state().plan.traffic = true;
+    router.state().plan.has_traffic = true;
     router.pass(600);
     assert!(router.holds());
     let effects = router.take();
@@ -85,6 +85,6 @@
     for (endpoints, length) in [(3, 1_000), (2_500, 2_000)] {
         let entries = (0..endpoints).map(|n| engine(n, None)).collect();
         let mut router = Router::planner(entries);
-        assert_eq!(router.state().plan.duty.length, length);
+        assert_eq!(router.state().plan.lease.ttl_ms, length);
     }
 }
--- a/tests/direct/limits.rs
+++ b/tests/direct/limits.rs
@@ -92,7 +92,7 @@
     let mut sent = 0;
     for id in 0..6 {
         let mut request = request(id, "/stream/x");
-        request.prompt = 6_000;
+        request.prompt_tokens = 6_000;
         router.tell(DirectEvent::Request(Box::new(request)));
     }
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
--- a/tests/direct/needs.rs
+++ b/tests/direct/needs.rs
@@ -7,7 +7,7 @@
 
 /// Groups that the large and the small model need, as the planner logs them.
 fn needs(router: &mut Router) -> Vec<f64> {
-    router.state().plan.needs_at = 0;
+    router.state().plan.needs_due = 0;
     router.done.clear();
     router.pass(100);
     let events = router.done.iter().filter_map(|e| match e {
--- a/tests/direct/planner_lease.rs
+++ b/tests/direct/planner_lease.rs
@@ -40,6 +40,6 @@
 #[test]
 fn orders_carry_the_fence_and_epochs_lie_above_every_earlier_planners() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
-    let duty = &router.state().plan.duty;
-    assert_eq!(duty.fence, crate::fixture::FENCE as u64);
+    let lease = &router.state().plan.lease;
+    assert_eq!(lease.fence, crate::fixture::FENCE as u64);
 }
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -27,9 +27,9 @@
 
 fn alive() -> ProbeResult {
     ProbeResult::Alive {
-        born: None,
+        started_ms: None,
         seat: None,
-        pace: 1_000,
+        slowness: 1_000,
     }
 }
 
@@ -356,9 +356,9 @@
     router.change("e3", Some(engine(3, None).1));
     let reported = seat("g", 2, SeatState::Ready);
     let reported = ProbeResult::Alive {
-        born: None,
+        started_ms: None,
         seat: reported,
-        pace: 1_000,
+        slowness: 1_000,
     };
     router.looked("e3", reported);
     router.take();
@@ -448,7 +448,7 @@
     entries[3].1.staged = vec![MODEL.into()];
     let mut router = Router::new(entries);
     router.tell(DirectEvent::Routing(Arc::new(routing_for_one_model())));
-    router.state().plan.traffic = true;
+    router.state().plan.has_traffic = true;
     router.pass(400);
     router.take();
     lose(&mut router, "e3");
@@ -534,7 +534,7 @@
     }
     let mut router = Router::new(entries);
     router.tell(DirectEvent::Routing(Arc::new(routing_for_sixteen())));
-    router.state().plan.traffic = true;
+    router.state().plan.has_traffic = true;
     keep_busy(&mut router, 3.0, 7.0, 3);
     lose(&mut router, "e115");
     router.pass(60);
--- a/tests/direct/restarts.rs
+++ b/tests/direct/restarts.rs
@@ -73,12 +73,15 @@
     router
         .state()
         .plan
-        .seats
+        .opened_seats
         .insert(InstanceId::new("e2"), known);
     router.change("e2", Some(restarted(2)));
     let view = &router.state().endpoints[&InstanceId::new("e2")];
     assert_eq!(view.entry.seat, None);
-    assert_eq!(view.last, None, "it holds no model of before the restart");
+    assert_eq!(
+        view.last_model, None,
+        "it holds no model of before the restart"
+    );
 }
 
 /// Guards against a planner that takes a head for alive because its address answers, though it
@@ -114,9 +117,9 @@
     let mut router = Router::planner(fleet(1));
     router.pass(100);
     let alive = ProbeResult::Alive {
-        born: Some(STARTED_MS + 30_000),
+        started_ms: Some(STARTED_MS + 30_000),
         seat: None,
-        pace: 1_000,
+        slowness: 1_000,
     };
     router.looked("e1", alive);
     let view = &router.state().endpoints[&InstanceId::new("e1")];
@@ -155,11 +158,11 @@
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.pass(100);
     let alive = ProbeResult::Alive {
-        born: Some(STARTED_MS),
+        started_ms: Some(STARTED_MS),
         seat: None,
-        pace: 1_000,
+        slowness: 1_000,
     };
     router.looked("e1", alive);
     let view = &router.state().endpoints[&InstanceId::new("e1")];
-    assert!(view.heads());
+    assert!(view.is_open_head());
 }
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -121,7 +121,7 @@
     assert!(after > before && after.fence() > before.fence());
     let mut router = restored_planner();
     router.pass(3_000);
-    assert!(router.state().plan.duty.fence > FENCE as u64);
+    assert!(router.state().plan.lease.fence > FENCE as u64);
 }
 
 /// A router that has just started didn't see the restore, but the routers' keys show it.
--- a/tests/direct/retries.rs
+++ b/tests/direct/retries.rs
@@ -135,8 +135,8 @@
 #[test]
 fn a_router_that_knows_no_others_yet_keeps_to_the_ratio() {
     let mut router = router_without_peers(1_000);
-    router.state().presence.next_at = u64::MAX;
-    router.state().plan.duty.next_at = u64::MAX;
+    router.state().registration.next_at = u64::MAX;
+    router.state().plan.lease.next_call = u64::MAX;
     router.pass(2 * WINDOW_MS);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
@@ -147,7 +147,7 @@
 #[test]
 fn at_the_first_start_of_the_system_a_router_has_its_part_within_two_seconds() {
     let mut router = router_without_peers(1_000);
-    router.state().plan.first = true;
+    router.state().plan.first_start = true;
     router.pass(2_000);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
--- a/tests/direct/settings.rs
+++ b/tests/direct/settings.rs
@@ -110,12 +110,12 @@
     let mut count = 0;
     for _ in 0..routers {
         let mut window = RetryWindow::default();
-        let knobs = DirectParams {
+        let params = DirectParams {
             retry_extra: extra,
             ..DirectParams::default()
         };
-        let terms = RetryBounds::new(&knobs, routers);
-        while window.retry(1_000, &terms) {
+        let bounds = RetryBounds::new(&params, routers);
+        while window.try_retry(1_000, &bounds) {
             count += 1;
         }
     }
--- a/tests/direct/stopping.rs
+++ b/tests/direct/stopping.rs
@@ -51,7 +51,7 @@
         router.pass(100);
         router.part(sent.run, crate::fixture::piece(n));
     }
-    assert!(router.state().ending == runrail::logic::direct::ShutdownStage::Done);
+    assert!(router.state().shutdown == runrail::logic::direct::ShutdownStage::Done);
 }
 
 /// Guards against a request that is held until the routing is known and gets no answer at
