--- a/src/logic/router/planner/plan_input.rs
+++ b/src/logic/router/planner/plan_input.rs
@@ -28,7 +28,7 @@
 }
 
 impl PlanInput<'_> {
-    /// Health of an instance; an unknown one is [`Health::CallerGone`].
+    /// Health of an instance; an unknown one is [`Health::Gone`].
     pub fn health_of(&self, id: &InstanceId) -> Health {
         self.health.get(id).copied().unwrap_or(Health::Gone)
     }
