--- a/benches/capacity/leader.rs
+++ b/benches/capacity/leader.rs
@@ -4,7 +4,7 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::{step, Effect, EndpointEvent, Event, Node, Peer, PeerRole, RunResult};
 use runrail::message::{Message, RunId, RunOrder};
 use runrail::types::{Brief, InstanceId, RequestId};
@@ -59,9 +59,9 @@
             me,
             1,
             0,
-            AgentKnobs {
+            AgentParams {
                 slots: 64,
-                ..AgentKnobs::default()
+                ..AgentParams::default()
             },
         );
         state.ready_at = 0;
@@ -89,7 +89,7 @@
                 incarnation: 1,
                 role: PeerRole::Router,
             };
-            bench.handle(Event::Up(router));
+            bench.handle(Event::SessionOpened(router));
         }
         bench.on_router_message(Message::Assign(Box::new(record)));
         bench.handle(Event::Endpoint(EndpointEvent::Loaded {
--- a/benches/capacity/router.rs
+++ b/benches/capacity/router.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use runrail::logic::router::{
-    CallerRequest, Keys, ListReply, RouterKnobs, RouterState, StoreCall, StoreChange, StoreEntry,
+    CallerRequest, Keys, ListReply, RouterParams, RouterState, StoreCall, StoreChange, StoreEntry,
     StoreReply,
 };
 use runrail::logic::{step, Effect, Event, Node, Peer, PeerRole};
@@ -49,14 +49,14 @@
 
 impl Bench {
     fn new(groups: usize) -> Self {
-        let params = RouterKnobs {
+        let params = RouterParams {
             // Planning passes are timed separately, and the proof that the bundle in force is
             // the newest neither expires nor is renewed.
             plan_ms: 1 << 40,
             proof_ms: 1 << 40,
             prove_ms: 1 << 39,
             request_limit: 1 << 30,
-            ..RouterKnobs::default()
+            ..RouterParams::default()
         };
         let state = RouterState::new(InstanceId::new("hall00-e1"), addr(), "hall00", 7, params);
         let mut bench = Self {
@@ -69,13 +69,13 @@
         let mut effects = bench.handle(Event::Tick);
         let records = domains(groups);
         let hall_instances = instances(&records, "hall00");
-        effects.extend(bench.handle(Event::List(ListReply::Instances(hall_instances))));
+        effects.extend(bench.handle(Event::Instances(ListReply::Instances(hall_instances))));
         bench.hold_planner_lease(&effects);
         bench.answer_reads(effects, &records);
         bench.now += 100;
         let effects = bench.handle(Event::Tick);
         for effect in effects {
-            if let Effect::Dial { to, .. } = effect {
+            if let Effect::OpenSession { to, .. } = effect {
                 bench.open_session(to, &records);
             }
         }
@@ -177,7 +177,7 @@
             }),
             leaving: false,
         };
-        self.handle(Event::Up(peer.clone()));
+        self.handle(Event::SessionOpened(peer.clone()));
         self.handle(Event::Message {
             from: peer.clone(),
             message: Message::Report(Box::new(report.clone())),
--- a/benches/policy/repair.rs
+++ b/benches/policy/repair.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::router::{plan, Condition, Health, PlanInput, WorldView};
+use runrail::logic::router::{plan, GroupCondition, InstanceHealth, ModelCounts, PlanInput};
 use runrail::types::{
     BundleBody, DomainRecord, GroupId, Instance, InstanceId, InstanceState, Measure, ModelKind,
     ModelSpec,
@@ -116,14 +116,14 @@
             .iter()
             .map(|g| {
                 let condition = if is_up(g, &ready_at) {
-                    Condition::Open
+                    GroupCondition::Open
                 } else {
-                    Condition::Closed
+                    GroupCondition::Closed
                 };
                 (g.id.clone(), condition)
             })
             .collect();
-        let mut hall: BTreeMap<Arc<str>, WorldView> = BTreeMap::new();
+        let mut hall: BTreeMap<Arc<str>, ModelCounts> = BTreeMap::new();
         for g in &record.groups {
             hall.entry(g.model.clone()).or_default().current += 1;
         }
@@ -134,9 +134,9 @@
                 (
                     i.id.clone(),
                     if is_live(&i.id) {
-                        Health::Live
+                        InstanceHealth::Live
                     } else {
-                        Health::Gone
+                        InstanceHealth::Gone
                     },
                 )
             })
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::router::{
-    AnswerPart, CallerRequest, Keys, ListReply, Outcome, RouterKnobs, RouterState, StoreCall,
+    AnswerPart, CallerRequest, Keys, ListReply, Outcome, RouterParams, RouterState, StoreCall,
     StoreEntry, StoreFault, StoreReply,
 };
 use runrail::logic::{
@@ -168,20 +168,20 @@
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut nodes = Vec::new();
         for r in 0..ROUTERS {
-            let params = RouterKnobs {
+            let params = RouterParams {
                 policy: scenario.policy.route,
                 request_limit: 1_000_000,
-                ..RouterKnobs::default()
+                ..RouterParams::default()
             };
             let id = InstanceId::new(&format!("r{r}"));
             let state = RouterState::new(id, addr(), "h", seed * 10 + r as u64 + 1, params);
             nodes.push(Node::Router(Box::new(state)));
         }
         for i in 0..GROUPS as usize {
-            let params = AgentKnobs {
+            let params = AgentParams {
                 slots: SLOTS_PER_GROUP as u32,
                 by_class: scenario.policy.by_class,
-                ..AgentKnobs::default()
+                ..AgentParams::default()
             };
             let mut state = AgentState::new(InstanceId::new(&agent_name(i)), 1, 0, params);
             state.ready_at = 0;
@@ -221,7 +221,7 @@
             .collect();
         for r in 0..ROUTERS {
             self.handle(r, Event::Tick);
-            self.handle(r, Event::List(ListReply::Instances(instances.clone())));
+            self.handle(r, Event::Instances(ListReply::Instances(instances.clone())));
         }
         for n in 0..self.nodes.len() {
             self.schedule_at(1 + n as u64, Action::Node(n, Event::Tick));
@@ -275,7 +275,7 @@
     fn peer(&self, n: usize) -> Peer {
         match &self.nodes[n] {
             Node::Router(s) => Peer {
-                id: s.me.clone(),
+                id: s.own_id.clone(),
                 incarnation: s.incarnation,
                 role: PeerRole::Router,
             },
@@ -309,11 +309,17 @@
                     Action::Node(Self::node_index(&to), event),
                 );
             }
-            Effect::Dial { to, .. } => {
+            Effect::OpenSession { to, .. } => {
                 let other = Self::node_index(&to);
                 let (me, peer) = (self.peer(n), self.peer(other));
-                self.schedule_at(self.now + ONE_WAY_MS, Action::Node(other, Event::Up(me)));
-                self.schedule_at(self.now + ONE_WAY_MS, Action::Node(n, Event::Up(peer)));
+                self.schedule_at(
+                    self.now + ONE_WAY_MS,
+                    Action::Node(other, Event::SessionOpened(me)),
+                );
+                self.schedule_at(
+                    self.now + ONE_WAY_MS,
+                    Action::Node(n, Event::SessionOpened(peer)),
+                );
             }
             Effect::Store { call, op } => {
                 self.outcomes.store_calls += 1;
@@ -501,7 +507,7 @@
         match self.scenario.disturbance {
             Disturbance::Loss => {
                 for n in affected {
-                    let session_down = Event::Down(self.peer(n).id);
+                    let session_down = Event::SessionClosed(self.peer(n).id);
                     self.dead.insert(n);
                     self.runs.retain(|(at, _), _| *at != n);
                     for r in 0..ROUTERS {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use runrail::etcd::PlatformSettings;
-use runrail::host::{run_agent, run_router, HostEvent, Running};
-use runrail::logic::agent::AgentKnobs;
-use runrail::logic::router::{OperatorCall, OperatorReply, RouterKnobs};
+use runrail::host::{run_agent, run_router, HostEvent, ProcessHandle};
+use runrail::logic::agent::AgentParams;
+use runrail::logic::router::{OperatorCall, OperatorReply, RouterParams};
 use runrail::settings::{AgentSettings, RouterSettings};
 use runrail::types::BundleBody;
 use testkit::{post, Call, Engine, EngineKnobs, Fabric, ListedInstance, Platform};
@@ -81,15 +81,15 @@
     Ok(())
 }
 
-fn start_agent(id: &str, engine: &Engine) -> Result<Running, Box<dyn Error>> {
+fn start_agent(id: &str, engine: &Engine) -> Result<ProcessHandle, Box<dyn Error>> {
     let mut settings = AgentSettings {
         id: id.into(),
         key: Arc::from(FLEET_KEY),
-        knobs: AgentKnobs {
+        params: AgentParams {
             lease_ms: 1_000,
             margin_ms: 100,
             ask_ms: 300,
-            ..AgentKnobs::default()
+            ..AgentParams::default()
         },
         ..AgentSettings::default()
     };
@@ -97,7 +97,7 @@
     Ok(run_agent(settings)?)
 }
 
-fn start_router(platform: &Platform) -> Result<Running, Box<dyn Error>> {
+fn start_router(platform: &Platform) -> Result<ProcessHandle, Box<dyn Error>> {
     Ok(run_router(RouterSettings {
         id: "brno1-e1".into(),
         hall: "brno1".into(),
@@ -107,16 +107,16 @@
             list: platform.addr(),
             ..PlatformSettings::default()
         },
-        knobs: RouterKnobs {
+        params: RouterParams {
             list_ms: 200,
             plan_ms: 100,
-            ..RouterKnobs::default()
+            ..RouterParams::default()
         },
         ..RouterSettings::default()
     })?)
 }
 
-fn roll_bundle(router: &Running) -> Result<(), Box<dyn Error>> {
+fn roll_bundle(router: &ProcessHandle) -> Result<(), Box<dyn Error>> {
     let body: BundleBody = serde_json::from_value(serde_json::json!({
         "title": "quickstart",
         "models": [{ "name": "desk", "version": "1", "instances": 4, "per_hall": 1 }],
@@ -165,7 +165,7 @@
 
 /// Sends an operator's call to the router and waits for the reply.
 fn send_operator_call(
-    router: &Running,
+    router: &ProcessHandle,
     call: OperatorCall,
 ) -> Result<OperatorReply, Box<dyn Error>> {
     let (reply, answer) = std::sync::mpsc::channel();
--- a/src/cli/check_command.rs
+++ b/src/cli/check_command.rs
@@ -53,7 +53,7 @@
     let result = match role.unwrap_or(guessed) {
         "router" => RouterSettings::load(path).map(|_| ()),
         "agent" => AgentSettings::load(path).map(|_| ()),
-        "direct" => DirectSettings::load(path).map(|s| print_gaps(file, &s)),
+        "direct" => DirectSettings::load(path).map(|s| print_missing_values(file, &s)),
         other => {
             let message = format!("--role: found {other:?}, expected router, direct or agent");
             return Err(CliError::usage(message, "check"));
@@ -63,9 +63,9 @@
 }
 
 /// Names the figures that a file leaves empty; they are no fault.
-fn print_gaps(file: &str, settings: &DirectSettings) {
-    for gap in &settings.gaps {
-        println!("{file}: {gap}");
+fn print_missing_values(file: &str, settings: &DirectSettings) {
+    for missing in &settings.missing_values {
+        println!("{file}: {missing}");
     }
 }
 
--- a/src/cli/serve_command.rs
+++ b/src/cli/serve_command.rs
@@ -9,7 +9,7 @@
 
 use super::command::{no_more, required};
 use super::{CliError, CliErrorKind};
-use crate::host::{run_agent, run_router, HostEvent, Inbox, Running};
+use crate::host::{run_agent, run_router, HostEvent, Inbox, ProcessHandle};
 use crate::link::run_direct;
 use crate::logic::Event;
 use crate::observe::{LogEnd, LogWriter};
@@ -24,7 +24,7 @@
     if DirectSettings::is_meant(&file) {
         let settings = DirectSettings::load(&file).map_err(wrong_file)?;
         let log = start_log()?;
-        let ended = run_direct(&settings, platform::dialect());
+        let ended = run_direct(&settings, platform::adapter());
         log.wait(LAST_LINES);
         return ended.map_err(cannot_start);
     }
@@ -81,7 +81,7 @@
     Ok(end)
 }
 
-fn serve(running: Running, log: &LogEnd) -> Result<(), CliError> {
+fn serve(running: ProcessHandle, log: &LogEnd) -> Result<(), CliError> {
     stop_on_signal(running.inbox())?;
     print_ready(&running);
     running.wait();
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-fn print_ready(running: &Running) {
+fn print_ready(running: &ProcessHandle) {
     let addresses = running.addresses();
     let mut line = format!("ready peers={}", addresses.peers);
     if let Some(callers) = addresses.callers {
--- a/src/etcd/kv_json.rs
+++ b/src/etcd/kv_json.rs
@@ -10,7 +10,7 @@
 pub(super) fn request(call: &StoreCall) -> (&'static str, Value) {
     match call {
         StoreCall::Read { key, prefix } => ("/v3/kv/range", range(key, *prefix)),
-        StoreCall::Swap {
+        StoreCall::Transaction {
             checks,
             puts,
             deletes,
@@ -69,12 +69,12 @@
             revision: revision(body)?,
             entries: entries(&body["kvs"])?,
         }),
-        StoreCall::Swap { .. } => {
+        StoreCall::Transaction { .. } => {
             let mut read = Vec::new();
             for response in list(&body["responses"]) {
                 read.extend(entries(&response["response_range"]["kvs"])?);
             }
-            Some(StoreReply::Swapped {
+            Some(StoreReply::Transaction {
                 done: body["succeeded"].as_bool().unwrap_or(false),
                 revision: revision(body)?,
                 entries: read,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -5,15 +5,15 @@
 mod host_event;
 mod inbox;
 mod node_actor;
+mod process_handle;
 mod run_agent;
 mod run_router;
-mod running;
 mod suspension;
 
 pub use clock::Clock;
 pub use host_event::{HostEvent, Inspect};
 pub use inbox::Inbox;
+pub use process_handle::{Addresses, ProcessHandle};
 pub use run_agent::run_agent;
 pub use run_router::run_router;
-pub use running::{Addresses, Running};
-pub use suspension::Suspension;
+pub use suspension::SuspensionDetector;
--- a/src/host/node_actor.rs
+++ b/src/host/node_actor.rs
@@ -135,10 +135,10 @@
 
     fn log_session_event(&mut self, event: &Event) {
         let log_event = match event {
-            Event::Up(peer) => LogEvent::new(LogCode::SessionUp)
+            Event::SessionOpened(peer) => LogEvent::new(LogCode::SessionUp)
                 .with("peer", &peer.id)
                 .with("incarnation", peer.incarnation),
-            Event::Down(id) => LogEvent::new(LogCode::SessionDown).with("peer", id),
+            Event::SessionClosed(id) => LogEvent::new(LogCode::SessionDown).with("peer", id),
             Event::Stop => LogEvent::new(LogCode::Stopping),
             _ => return,
         };
@@ -154,7 +154,7 @@
 
     fn step(&mut self, cx: CX![], event: Event) {
         let gone = match &event {
-            Event::Gone(id) => Some(*id),
+            Event::CallerGone(id) => Some(*id),
             _ => None,
         };
         let effects = step(&mut self.node, self.environment.clock.now(), event);
@@ -169,8 +169,8 @@
     fn carry_out(&mut self, cx: CX![], effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.environment.net.send(&to, message),
-            Effect::Dial { to, addr } => self.environment.net.dial(&to, addr),
-            Effect::Hangup(to) => self.environment.net.hangup(&to),
+            Effect::OpenSession { to, addr } => self.environment.net.dial(&to, addr),
+            Effect::CloseSession(to) => self.environment.net.hangup(&to),
             Effect::Store { call, op } => {
                 if let Some(platform) = &self.environment.platform {
                     platform.kv.call(call, op);
@@ -181,7 +181,7 @@
                     platform.watcher.start(from);
                 }
             }
-            Effect::FetchList => {
+            Effect::FetchInstances => {
                 if let Some(platform) = &self.environment.platform {
                     platform.list.fetch();
                 }
@@ -199,7 +199,7 @@
                 }
             }
             Effect::Log(event) => self.log_event(&event),
-            Effect::Measure {
+            Effect::RecordMetric {
                 metric,
                 account,
                 class,
--- a/src/host/running.rs
+++ b/src/host/process_handle.rs
@@ -25,7 +25,7 @@
 }
 
 /// Handle of a router or an agent that runs on threads of this process.
-pub struct Running {
+pub struct ProcessHandle {
     pub(super) addresses: Addresses,
     pub(super) inbox: Inbox,
     pub(super) thread: JoinHandle<()>,
@@ -33,7 +33,7 @@
     pub(super) net: Net,
 }
 
-impl Running {
+impl ProcessHandle {
     /// Addresses that it listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
--- a/src/host/run_agent.rs
+++ b/src/host/run_agent.rs
@@ -2,7 +2,7 @@
 
 use super::node_actor::{self, Environment};
 use super::run_router::start_net;
-use super::{Addresses, Clock, HostEvent, Inbox, Running};
+use super::{Addresses, Clock, HostEvent, Inbox, ProcessHandle};
 use crate::endpoint::EndpointClient;
 use crate::logic::agent::AgentState;
 use crate::logic::{Event, Node, PeerRole};
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// Returns the error if a socket can't be opened or a thread can't be started.
-pub fn run_agent(settings: AgentSettings) -> io::Result<Running> {
+pub fn run_agent(settings: AgentSettings) -> io::Result<ProcessHandle> {
     let (inbox, events) = Inbox::new();
     let identity = Identity {
         id: InstanceId::new(&settings.id),
@@ -29,7 +29,7 @@
         identity.id.clone(),
         identity.incarnation,
         clock.now(),
-        settings.knobs.clone(),
+        settings.params.clone(),
     );
     let endpoint_inbox = inbox.clone();
     let endpoint = EndpointClient::new(settings.endpoint.clone(), clock, move |event| {
@@ -50,7 +50,7 @@
         metrics: Metrics::new(settings.statsd)?,
     };
     let thread = node_actor::spawn(Node::Agent(Box::new(state)), environment, events)?;
-    Ok(Running {
+    Ok(ProcessHandle {
         addresses,
         inbox,
         thread,
--- a/src/host/run_router.rs
+++ b/src/host/run_router.rs
@@ -1,7 +1,7 @@
 use std::io;
 
 use super::node_actor::{self, Environment, Platform};
-use super::{Addresses, Clock, HostEvent, Inbox, Running};
+use super::{Addresses, Clock, HostEvent, Inbox, ProcessHandle};
 use crate::etcd::{KvClient, ListClient, PlatformSettings, Watcher};
 use crate::http::{CallerApi, HttpServer, OperatorApi};
 use crate::logic::router::{Keys, RouterState};
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// Returns the error if a socket can't be opened or a thread can't be started.
-pub fn run_router(settings: RouterSettings) -> io::Result<Running> {
+pub fn run_router(settings: RouterSettings) -> io::Result<ProcessHandle> {
     let (inbox, events) = Inbox::new();
     let identity = Identity {
         id: InstanceId::new(&settings.id),
@@ -33,7 +33,7 @@
         net.addr(),
         &settings.hall,
         identity.incarnation,
-        settings.knobs.clone(),
+        settings.params.clone(),
     );
     let api = CallerApi::new(inbox.clone(), identity.incarnation, settings.body_limit);
     let callers = HttpServer::start(settings.callers, settings.caller_limit, move |r| {
@@ -57,7 +57,7 @@
         metrics: Metrics::new(settings.statsd)?,
     };
     let thread = node_actor::spawn(Node::Router(Box::new(state)), environment, events)?;
-    Ok(Running {
+    Ok(ProcessHandle {
         addresses,
         inbox,
         thread,
@@ -78,8 +78,8 @@
     let inbox = inbox.clone();
     Net::start(identity.clone(), settings, move |event| {
         inbox.send(match event {
-            NetEvent::Up(peer) => HostEvent::Step(Event::Up(peer)),
-            NetEvent::Down(id) => HostEvent::Step(Event::Down(id)),
+            NetEvent::Up(peer) => HostEvent::Step(Event::SessionOpened(peer)),
+            NetEvent::Down(id) => HostEvent::Step(Event::SessionClosed(id)),
             NetEvent::Message { from, message } => {
                 HostEvent::Step(Event::Message { from, message })
             }
@@ -97,12 +97,12 @@
     let watcher = Watcher::new(settings, Keys::FLEET, move |change| {
         watch_inbox.send(HostEvent::Step(match change {
             Some(changes) => Event::Watch(changes),
-            None => Event::WatchLost,
+            None => Event::WatchInterrupted,
         }));
     });
     let list_inbox = inbox.clone();
     let list = ListClient::start(settings, hall, move |list| {
-        list_inbox.send(HostEvent::Step(Event::List(list)));
+        list_inbox.send(HostEvent::Step(Event::Instances(list)));
     })?;
     Ok(Platform { kv, watcher, list })
 }
--- a/src/host/suspension.rs
+++ b/src/host/suspension.rs
@@ -9,14 +9,14 @@
 /// Detects suspensions of the machine: the clock of the process advances in them, the clock of
 /// timers doesn't.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     clock: Clock,
     start: Instant,
     /// Difference between the two clocks at the last reported suspension.
     reported: Millis,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// Starts to detect suspensions, with the clock of the process.
     pub fn new(clock: Clock) -> Self {
         Self {
--- a/src/http/caller_api.rs
+++ b/src/http/caller_api.rs
@@ -124,7 +124,7 @@
             ModelKind::Service => collect_service(request, id, &parts),
         };
         if sent.is_err() {
-            self.inbox.send(HostEvent::Step(Event::Gone(id)));
+            self.inbox.send(HostEvent::Step(Event::CallerGone(id)));
         }
     }
 }
--- a/src/link/callers.rs
+++ b/src/link/callers.rs
@@ -119,7 +119,7 @@
     head: http::request::Parts,
     body: Bytes,
 ) -> Response<AnswerBody> {
-    let mut call = (shared.adapter.request)(&head, &body);
+    let mut call = (shared.adapter.parse_request)(&head, &body);
     call.id = id;
     let label = call.label.clone();
     let (reply, answer) = oneshot::channel();
--- a/src/link/dialect.rs
+++ b/src/link/dialect.rs
@@ -2,7 +2,7 @@
 use http::{request, response, HeaderMap, Request, Response, StatusCode};
 use http_body_util::Full;
 
-use super::{Page, Reply, Watched};
+use super::{Reply, StorePage, WatchResult};
 use crate::logic::direct::{
     DirectRequest, GroupOrder, OrderResult, ProbeResult, Problem, RunRequest,
 };
@@ -15,7 +15,7 @@
 /// Functions that build a call to a given address take that address as text, for the `host`
 /// header.
 #[derive(Clone, Copy)]
-pub struct Dialect {
+pub struct PlatformAdapter {
     /// Key of the operators' routing in the store.
     pub routing_key: &'static str,
     /// Prefix of the endpoint list's keys.
@@ -25,44 +25,44 @@
     /// Path of the balancer's readiness check.
     pub ready_path: &'static str,
     /// Parses the operators' routing; an error tells why it is invalid.
-    pub routing: fn(&str) -> Result<Routing, String>,
+    pub parse_routing: fn(&str) -> Result<Routing, String>,
     /// Parses an entry of the endpoint list; an error tells why it is invalid.
-    pub entry: fn(&StoreEntry) -> Result<(InstanceId, EndpointEntry), String>,
+    pub parse_entry: fn(&StoreEntry) -> Result<(InstanceId, EndpointEntry), String>,
     /// Parses a caller's request.
-    pub request: fn(&request::Parts, &[u8]) -> DirectRequest,
+    pub parse_request: fn(&request::Parts, &[u8]) -> DirectRequest,
     /// Builds the request to an endpoint for a caller's request.
-    pub run: fn(&RunRequest, &request::Parts, Bytes) -> Request<Full<Bytes>>,
+    pub build_run: fn(&RunRequest, &request::Parts, Bytes) -> Request<Full<Bytes>>,
     /// Parses the head of an endpoint's answer to the request with a label.
-    pub reply: fn(&response::Parts, &str) -> Reply,
+    pub parse_reply: fn(&response::Parts, &str) -> Reply,
     /// Parses how many requests a second an endpoint takes from all routers, if its answer
     /// has that limit; an error tells why it is invalid.
-    pub rate: fn(&HeaderMap) -> Result<Option<RequestRate>, String>,
+    pub parse_rate: fn(&HeaderMap) -> Result<Option<RequestRate>, String>,
     /// Builds the head of a caller's answer from that of an endpoint.
-    pub head: fn(&response::Parts) -> response::Parts,
+    pub build_head: fn(&response::Parts) -> response::Parts,
     /// Builds the answer to a request that the router refuses.
-    pub problem: fn(Problem) -> Response<Bytes>,
+    pub build_problem: fn(Problem) -> Response<Bytes>,
     /// Builds the request for an endpoint's report.
-    pub look: fn(&InstanceId, &str) -> Request<Full<Bytes>>,
+    pub build_probe: fn(&InstanceId, &str) -> Request<Full<Bytes>>,
     /// Parses a report; an error tells why it is invalid.
-    pub looked: fn(StatusCode, &[u8]) -> Result<ProbeResult, String>,
+    pub parse_report: fn(StatusCode, &[u8]) -> Result<ProbeResult, String>,
     /// Builds an order to an endpoint.
-    pub order: fn(&InstanceId, &str, &GroupOrder) -> Request<Full<Bytes>>,
+    pub build_order: fn(&InstanceId, &str, &GroupOrder) -> Request<Full<Bytes>>,
     /// Parses the answer to an order.
-    pub ordered: fn(StatusCode) -> OrderResult,
+    pub parse_order: fn(StatusCode) -> OrderResult,
     /// Builds a call to the store.
-    pub call: fn(&str, &StoreCall) -> Request<Full<Bytes>>,
+    pub build_call: fn(&str, &StoreCall) -> Request<Full<Bytes>>,
     /// Parses the answer to a call; an error tells why it is invalid.
-    pub reply_of: fn(&StoreCall, StatusCode, &[u8]) -> Result<StoreResult, String>,
+    pub parse_call: fn(&StoreCall, StatusCode, &[u8]) -> Result<StoreResult, String>,
     /// Parses the era in an answer of the store, if it has one; an error tells why it is
     /// invalid.
-    pub store_era: fn(&HeaderMap) -> Result<Option<u64>, String>,
+    pub parse_era: fn(&HeaderMap) -> Result<Option<u64>, String>,
     /// Builds the request for a page of the keys with a prefix, beginning after a key.
-    pub page: fn(&str, &str, Option<&str>) -> Request<Full<Bytes>>,
+    pub build_page: fn(&str, &str, Option<&str>) -> Request<Full<Bytes>>,
     /// Parses a page, if the answer has one; an error tells why it is invalid.
-    pub paged: fn(StatusCode, &[u8]) -> Result<Option<Page>, String>,
+    pub parse_page: fn(StatusCode, &[u8]) -> Result<Option<StorePage>, String>,
     /// Builds the call that waits for changes of a prefix after a revision, for some
     /// milliseconds.
-    pub watch: fn(&str, &str, i64, u64) -> Request<Full<Bytes>>,
+    pub build_watch: fn(&str, &str, i64, u64) -> Request<Full<Bytes>>,
     /// Parses the answer to a watch call; an error tells why it is invalid.
-    pub watched: fn(StatusCode, &[u8]) -> Result<Watched, String>,
+    pub parse_watch: fn(StatusCode, &[u8]) -> Result<WatchResult, String>,
 }
--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -8,7 +8,7 @@
 use super::link_event::LinkEvent;
 use super::shared::{Caller, Shared};
 use super::{looks, peers, runs, store};
-use crate::host::{Clock, Suspension};
+use crate::host::{Clock, SuspensionDetector};
 use crate::logic::direct::{DirectEffect, DirectEvent, Problem};
 use crate::logic::{step, Effect, Event, LogCode, LogEvent, Node};
 use crate::observe::{exposition, EventLog, LabelledCount, Metrics};
@@ -28,7 +28,7 @@
     node: Node,
     shared: Rc<Shared>,
     clock: Clock,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
     log: EventLog,
     metrics: Metrics,
 }
@@ -41,7 +41,7 @@
             node,
             shared,
             clock,
-            suspension: Suspension::new(clock),
+            suspension: SuspensionDetector::new(clock),
             log: EventLog::default(),
             metrics,
         };
@@ -135,7 +135,7 @@
                 begin.notify_one();
             }
             Effect::Log(event) => self.log_event(&event),
-            Effect::Measure {
+            Effect::RecordMetric {
                 metric,
                 account,
                 class,
@@ -218,7 +218,7 @@
         let Some(head) = runs.get(&run).and_then(|r| r.head.as_ref()) else {
             return;
         };
-        let head = (self.shared.adapter.head)(head);
+        let head = (self.shared.adapter.build_head)(head);
         let (sender, parts) = mpsc::unbounded_channel();
         let body = AnswerBody::Stream {
             parts,
@@ -240,7 +240,7 @@
         let Some((head, body)) = found.and_then(|r| Some((r.head?, r.body))) else {
             return;
         };
-        let head = (self.shared.adapter.head)(&head);
+        let head = (self.shared.adapter.build_head)(&head);
         self.reply(
             request,
             Response::from_parts(head, AnswerBody::Whole(Some(body))),
@@ -248,7 +248,7 @@
     }
 
     fn refuse(&self, request: u64, problem: Problem) {
-        let response = (self.shared.adapter.problem)(problem);
+        let response = (self.shared.adapter.build_problem)(problem);
         let whole = response.map(|bytes| AnswerBody::Whole(Some(bytes)));
         self.reply(request, whole);
     }
--- a/src/link/looks.rs
+++ b/src/link/looks.rs
@@ -31,7 +31,7 @@
 pub(super) fn send_probe(shared: &Rc<Shared>, id: InstanceId, addr: SocketAddr) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
-        let request = (shared.adapter.look)(&id, &addr.to_string());
+        let request = (shared.adapter.build_probe)(&id, &addr.to_string());
         let result = match timeout(
             PROBE_TIMEOUT,
             fetch(&shared, addr, request, MAX_ANSWER_BYTES),
@@ -52,7 +52,7 @@
 /// Reads a report. An endpoint whose report is invalid is alive all the same; its seat in a
 /// group is then known from the endpoint list only.
 fn read_report(shared: &Shared, id: &InstanceId, status: StatusCode, body: &[u8]) -> ProbeResult {
-    (shared.adapter.looked)(status, body).unwrap_or_else(|why| {
+    (shared.adapter.parse_report)(status, body).unwrap_or_else(|why| {
         log_unreadable("a report", id.as_str(), &why);
         ProbeResult::Alive {
             started_ms: None,
@@ -81,7 +81,7 @@
 ) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
-        let request = (shared.adapter.order)(&id, &addr.to_string(), &body);
+        let request = (shared.adapter.build_order)(&id, &addr.to_string(), &body);
         let result = match timeout(
             ORDER_TIMEOUT,
             fetch(&shared, addr, request, MAX_ANSWER_BYTES),
@@ -90,7 +90,7 @@
         {
             Ok(Ok(answer)) => {
                 send_rate(&shared, &id, None, answer.headers());
-                (shared.adapter.ordered)(answer.status())
+                (shared.adapter.parse_order)(answer.status())
             }
             _ => OrderResult::Unanswered,
         };
@@ -101,7 +101,7 @@
 /// Passes the endpoint's request limit in an answer, or that it names none, to the reducer. An
 /// invalid limit is logged and changes nothing.
 pub(super) fn send_rate(shared: &Shared, id: &InstanceId, run: Option<u64>, headers: &HeaderMap) {
-    match (shared.adapter.rate)(headers) {
+    match (shared.adapter.parse_rate)(headers) {
         Ok(rate) => shared.send_direct(DirectEvent::RateLimit {
             id: id.clone(),
             run,
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,7 +1,7 @@
 //! Host of a router with direct links: HTTP to callers, endpoints and the store.
 //!
 //! Everything runs on one thread: tokio tasks do the I/O, and a `stakker` actor owns the state
-//! and passes each event to the reducer. The platform adapter, a [`Dialect`], defines all
+//! and passes each event to the reducer. The platform adapter ([`PlatformAdapter`]) defines all
 //! messages on the wire; this module depends on no particular platform.
 
 mod answer_body;
@@ -13,7 +13,6 @@
 mod fault;
 mod link_event;
 mod looks;
-mod page;
 mod page_time;
 mod peers;
 mod pool;
@@ -24,17 +23,18 @@
 mod shared;
 mod store;
 mod store_gate;
+mod store_page;
 mod store_use;
-mod watched;
+mod watch_result;
 mod watches;
 
 pub use backlog::more_wait;
-pub use dialect::Dialect;
+pub use dialect::PlatformAdapter;
 pub use event_splitter::{EventSplitter, SplitEvent};
-pub use page::Page;
 pub use page_time::page_timeout;
 pub use reply::Reply;
 pub use run_direct::run_direct;
-pub use store_gate::{Pass, StoreGate};
-pub use watched::Watched;
+pub use store_gate::{Permit, StoreGate};
+pub use store_page::StorePage;
+pub use watch_result::WatchResult;
 pub(crate) use watches::{Watch, WatchPace};
--- a/src/link/run_direct.rs
+++ b/src/link/run_direct.rs
@@ -18,14 +18,14 @@
 use super::store::PrefixEntries;
 use super::store_gate::StoreGate;
 use super::watches::{self, WatchPace};
-use super::{callers, peers, ready, Dialect};
+use super::{callers, peers, ready, PlatformAdapter};
 use crate::host::Clock;
 use crate::logic::direct::{DirectEvent, DirectState, ListPace};
 use crate::logic::router::StoreChange;
 use crate::logic::{Event, LogCode, LogEvent, Node};
 use crate::observe::Metrics;
 use crate::settings::DirectSettings;
-use crate::types::{CallerLimits, FigureGap, InstanceId, StorePosition};
+use crate::types::{CallerLimits, InstanceId, MissingValue, StorePosition};
 
 /// Time between two ticks. Less than the interval that the reducer requires, so that waiting
 /// requests are sent without much delay.
@@ -42,7 +42,7 @@
 /// # Errors
 /// Returns the error if the async runtime, a listener, a socket or a signal handler can't be set
 /// up.
-pub fn run_direct(settings: &DirectSettings, adapter: Dialect) -> io::Result<()> {
+pub fn run_direct(settings: &DirectSettings, adapter: PlatformAdapter) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -50,7 +50,7 @@
     local.block_on(&runtime, serve(settings, adapter))
 }
 
-async fn serve(settings: &DirectSettings, adapter: Dialect) -> io::Result<()> {
+async fn serve(settings: &DirectSettings, adapter: PlatformAdapter) -> io::Result<()> {
     let clock = Clock::start();
     let shared = Rc::new(Shared {
         adapter,
@@ -86,7 +86,7 @@
     let callers = TcpListener::bind(settings.callers).await?;
     let readiness = TcpListener::bind(settings.ready).await?;
     start_actor(settings, &shared)?;
-    settings.gaps.iter().for_each(log_missing_value);
+    settings.missing_values.iter().for_each(log_missing_value);
     if let Some(listen) = settings.peers {
         let socket = Rc::new(UdpSocket::bind(listen).await?);
         *shared.peers.borrow_mut() = Some(socket.clone());
@@ -115,7 +115,7 @@
         InstanceId::new(&settings.id),
         &settings.hall,
         fastrand::u64(1..),
-        settings.knobs.clone(),
+        settings.params.clone(),
     );
     state.plan.first_start = settings.first_start;
     state.own_addr = settings.peers;
@@ -159,7 +159,7 @@
     // Whether the newest document is valid; if not, the routing in force is not the newest.
     let newest_valid = Cell::new(true);
     let apply = |value: &str| {
-        let routing = (shared.adapter.routing)(value);
+        let routing = (shared.adapter.parse_routing)(value);
         newest_valid.set(routing.is_ok());
         match routing {
             Ok(routing) => {
@@ -198,7 +198,8 @@
 
 /// Passes the endpoint list and its changes to the reducer; invalid entries are logged.
 async fn follow_list(shared: Rc<Shared>, pace: WatchPace) {
-    let read = |entry: &crate::logic::router::StoreEntry| match (shared.adapter.entry)(entry) {
+    let read = |entry: &crate::logic::router::StoreEntry| match (shared.adapter.parse_entry)(entry)
+    {
         Ok(read) => Some(read),
         Err(why) => {
             log_event(LogCode::EntryUnread, &why);
@@ -243,7 +244,7 @@
         };
         let prefix = shared.adapter.own_prefix;
         watches::follow_changes(&shared, prefix, pace, at.get(), &mut on_changes).await;
-        shared.send(LinkEvent::Step(Event::WatchLost));
+        shared.send(LinkEvent::Step(Event::WatchInterrupted));
     }
 }
 
@@ -267,7 +268,7 @@
 }
 
 /// Logs a value that is missing in the operators' document and the default used for it.
-fn log_missing_value(missing: &FigureGap) {
+fn log_missing_value(missing: &MissingValue) {
     let event = LogEvent::new(LogCode::ValueMissing)
         .with("place", &missing.place)
         .with("found", &missing.found)
--- a/src/link/runs.rs
+++ b/src/link/runs.rs
@@ -62,7 +62,7 @@
     run: &RunRequest,
     received: &ReceivedRequest,
 ) -> Option<RunPart> {
-    let request = (shared.adapter.run)(run, &received.head, received.body.clone());
+    let request = (shared.adapter.build_run)(run, &received.head, received.body.clone());
     let sent = shared
         .pool
         .send(run.addr, request, run.avoid_stale, CONNECT_TIMEOUT)
@@ -75,7 +75,7 @@
     };
     let (head, body) = response.into_parts();
     looks::send_rate(shared, &run.to, Some(run.run), &head.headers);
-    let reply = (shared.adapter.reply)(&head, &received.label);
+    let reply = (shared.adapter.parse_reply)(&head, &received.label);
     if reply.foreign {
         return Some(RunPart::Broken);
     }
--- a/src/link/shared.rs
+++ b/src/link/shared.rs
@@ -14,7 +14,7 @@
 use super::link_event::{LinkEvent, ReceivedRequest};
 use super::pool::Pool;
 use super::store_gate::StoreGate;
-use super::Dialect;
+use super::PlatformAdapter;
 use crate::host::Clock;
 use crate::logic::direct::{DirectEvent, ListPace};
 use crate::logic::Event;
@@ -29,7 +29,7 @@
 /// State that the tasks of a process share; all of them run on one thread.
 pub(super) struct Shared {
     /// The platform adapter.
-    pub adapter: Dialect,
+    pub adapter: PlatformAdapter,
     /// Clock of the process.
     pub clock: Clock,
     /// Notified when watches are to send their calls again, as pending answers may be old.
--- a/src/link/store.rs
+++ b/src/link/store.rs
@@ -11,7 +11,7 @@
 use super::looks::{fetch, log_unreadable};
 use super::page_timeout;
 use super::shared::Shared;
-use super::store_gate::Pass;
+use super::store_gate::Permit;
 use super::store_use::StoreUse;
 use crate::logic::direct::{DirectEvent, ListPace};
 use crate::logic::router::{CallId, StoreCall, StoreEntry, StoreFault, StoreReply, StoreResult};
@@ -72,11 +72,11 @@
     } else {
         shared.gate.acquire().await
     };
-    let request = (shared.adapter.call)(&shared.store.to_string(), op);
+    let request = (shared.adapter.build_call)(&shared.store.to_string(), op);
     let (status, body) = send_call(shared, store_use, permit, request, CALL_TIMEOUT)
         .await
         .ok_or(StoreFault)?;
-    (shared.adapter.reply_of)(op, status, &body).unwrap_or_else(|why| {
+    (shared.adapter.parse_call)(op, status, &body).unwrap_or_else(|why| {
         log_unreadable("an answer", "the store", &why);
         Err(StoreFault)
     })
@@ -88,7 +88,7 @@
 pub(super) async fn send_call(
     shared: &Shared,
     store_use: StoreUse,
-    permit: Pass<'_>,
+    permit: Permit<'_>,
     request: Request<Full<Bytes>>,
     max_time: Duration,
 ) -> Option<(StatusCode, Bytes)> {
@@ -117,7 +117,7 @@
 /// Updates the store's era from an answer; returns false if the answer is of an era that is
 /// over. An invalid era is logged and taken as the one known so far.
 fn update_era(shared: &Shared, headers: &HeaderMap) -> bool {
-    let named = (shared.adapter.store_era)(headers).unwrap_or_else(|why| {
+    let named = (shared.adapter.parse_era)(headers).unwrap_or_else(|why| {
         log_unreadable("an answer", "the store", &why);
         shared.era.get()
     });
@@ -173,7 +173,7 @@
     let mut failures = 0u32;
     while failures < MAX_PAGE_FAILURES {
         let after = all.entries.last().map(|e| e.key.clone());
-        let request = (shared.adapter.page)(&host, prefix, after.as_deref());
+        let request = (shared.adapter.build_page)(&host, prefix, after.as_deref());
         let permit = shared.gate.acquire().await;
         let answer = send_call(
             shared,
@@ -188,7 +188,7 @@
             failures += 1;
             continue;
         };
-        let page = (shared.adapter.paged)(status, &body).unwrap_or_else(|why| {
+        let page = (shared.adapter.parse_page)(status, &body).unwrap_or_else(|why| {
             log_unreadable(prefix, "the store", &why);
             None
         })?;
--- a/src/link/store_gate.rs
+++ b/src/link/store_gate.rs
@@ -38,7 +38,7 @@
 }
 
 /// Permission to make one call.
-pub struct Pass<'a> {
+pub struct Permit<'a> {
     gate: &'a StoreGate,
     /// Whether this is the trial call, for which all other calls wait; it should be short.
     pub is_trial: bool,
@@ -46,7 +46,7 @@
 
 impl StoreGate {
     /// Waits until a call may be made.
-    pub async fn acquire(&self) -> Pass<'_> {
+    pub async fn acquire(&self) -> Permit<'_> {
         loop {
             if self.failures.get() == 0 {
                 return self.permit(false);
@@ -67,8 +67,8 @@
     }
 
     /// Permission without waiting, for the renewal of the planner lease.
-    pub fn permit(&self, is_trial: bool) -> Pass<'_> {
-        Pass {
+    pub fn permit(&self, is_trial: bool) -> Permit<'_> {
+        Permit {
             gate: self,
             is_trial,
         }
@@ -121,7 +121,7 @@
     }
 }
 
-impl Pass<'_> {
+impl Permit<'_> {
     /// Ends the call, with the number of routers that call the store; returns whether the
     /// store was lost before this answer.
     pub fn end(self, answered: bool, routers: usize) -> bool {
@@ -133,7 +133,7 @@
     }
 }
 
-impl Drop for Pass<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
         if self.is_trial {
             self.gate.in_trial.set(false);
--- a/src/link/page.rs
+++ b/src/link/store_page.rs
@@ -2,7 +2,7 @@
 
 /// One page of keys with a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
+pub struct StorePage {
     /// The store's revision when the page was read.
     pub revision: i64,
     /// Whether more keys follow the last one.
--- a/src/link/watched.rs
+++ b/src/link/watch_result.rs
@@ -2,7 +2,7 @@
 
 /// The result of a watch call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes in order, possibly none.
     Changes {
         /// Revision up to which the changes are complete.
--- a/src/link/watches.rs
+++ b/src/link/watches.rs
@@ -10,7 +10,7 @@
 use super::shared::Shared;
 use super::store::{read_all, send_call, PrefixEntries};
 use super::store_use::StoreUse;
-use super::Watched;
+use super::WatchResult;
 use crate::logic::direct::{DirectEvent, ListPace};
 use crate::logic::router::{StoreChange, StoreEntry};
 use crate::types::StorePosition;
@@ -116,7 +116,7 @@
             wait_ms(shared, pace)
         };
         let max_time = Duration::from_millis(wait_ms) + ANSWER_MARGIN;
-        let request = (shared.adapter.watch)(&host, prefix, at.revision, wait_ms);
+        let request = (shared.adapter.build_watch)(&host, prefix, at.revision, wait_ms);
         let answer = tokio::select! {
             answer = send_call(shared, pace.what.store_use(), permit, request, max_time) => answer,
             () = shared.wait_era_end(at.era) => return,
@@ -126,14 +126,14 @@
         if !shared.is_current_era(at.era) {
             return;
         }
-        let watched = answer.map_or(Watched::Fault, |(status, body)| {
-            (shared.adapter.watched)(status, &body).unwrap_or_else(|why| {
+        let watched = answer.map_or(WatchResult::Fault, |(status, body)| {
+            (shared.adapter.parse_watch)(status, &body).unwrap_or_else(|why| {
                 log_unreadable(prefix, "the store", &why);
-                Watched::Fault
+                WatchResult::Fault
             })
         });
         match watched {
-            Watched::Changes { revision, changes } => {
+            WatchResult::Changes { revision, changes } => {
                 at.revision = revision;
                 let count = changes.len();
                 on_changes(at, changes);
@@ -145,10 +145,10 @@
                 before = count;
             }
             // Without the pause, a store that drops changes at once would be read in a busy loop.
-            Watched::Forgotten => return sleep(pace.pause).await,
+            WatchResult::Forgotten => return sleep(pace.pause).await,
             // After a failed call the gate delays the next one; after an invalid answer this
             // pause does.
-            Watched::Fault => sleep(pace.pause).await,
+            WatchResult::Fault => sleep(pace.pause).await,
         }
     }
 }
--- a/src/logic/agent/admission.rs
+++ b/src/logic/agent/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of attempts, and the reasons for refusing them.
 
-use super::{claims, estimate, runs, AgentState, Job, OnceEntry, OnceState};
+use super::{claims, estimate, runs, AgentState, ClaimEntry, ClaimStatus, Job};
 use crate::logic::Effect;
 use crate::message::{Refusal, RunOrder};
 use crate::types::{InstanceId, Millis};
@@ -41,9 +41,9 @@
         order,
     };
     if let Some(once) = job.order.once {
-        let entry = OnceEntry {
+        let entry = ClaimEntry {
             attempt: once.attempt,
-            state: OnceState::Active(job.order.run),
+            state: ClaimStatus::Active(job.order.run),
             until: now + once.keep_ms,
         };
         state.memory.put(once.key, entry);
@@ -99,7 +99,7 @@
     let class = state.brief.class(&order.class);
     let priority = class.map_or(LAST_PRIORITY, |c| c.priority);
     let wait = estimate::expected_wait(state, priority);
-    if state.queue.len() >= state.knobs.queue_limit as usize {
+    if state.queue.len() >= state.params.queue_limit as usize {
         return Some(Refusal::Full(wait.max(1)));
     }
     let end = wait + estimate::mean_time(state, priority);
--- a/src/logic/agent/agent_knobs.rs
+++ b/src/logic/agent/agent_params.rs
@@ -2,7 +2,7 @@
 
 /// Parameters of an agent. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct AgentKnobs {
+pub struct AgentParams {
     /// Length of a presence lease; the same on every instance of a fleet.
     pub lease_ms: Millis,
     /// Added by a member to the length of each grant, for the drift between its clock and its
@@ -29,7 +29,7 @@
     pub by_class: bool,
 }
 
-impl Default for AgentKnobs {
+impl Default for AgentParams {
     fn default() -> Self {
         Self {
             lease_ms: 3_000,
--- a/src/logic/agent/agent_state.rs
+++ b/src/logic/agent/agent_state.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use super::{AgentKnobs, Grant, JobQueue, Lead, OnceMemory, Running, Share};
+use super::{AgentParams, ClaimMemory, EndpointLoad, Grant, JobQueue, LedGroup, RunningJob};
 use crate::logic::{Peer, PeerRole, Rules};
 use crate::message::{Report, RunId};
 use crate::types::{Brief, InstanceId, Millis};
@@ -11,9 +11,9 @@
     /// Safety rules; only the model check turns any off.
     pub rules: Rules,
     /// Parameters.
-    pub knobs: AgentKnobs,
+    pub params: AgentParams,
     /// Own instance.
-    pub id: InstanceId,
+    pub own_id: InstanceId,
     /// Random number of this process.
     pub incarnation: u64,
     /// Grants nothing before this time.
@@ -25,15 +25,15 @@
     /// The presence grant in force.
     pub grant: Option<Grant>,
     /// Load order of the own endpoint and its progress.
-    pub share: Option<Share>,
+    pub share: Option<EndpointLoad>,
     /// Group that this agent leads.
-    pub lead: Option<Lead>,
+    pub lead: Option<LedGroup>,
     /// Waiting requests.
     pub queue: JobQueue,
     /// Requests handed to the endpoint.
-    pub running: BTreeMap<RunId, Running>,
+    pub running: BTreeMap<RunId, RunningJob>,
     /// Claimed requests, which may not be repeated.
-    pub memory: OnceMemory,
+    pub memory: ClaimMemory,
     /// Routers with a session, and when each last sent an order to run a request.
     pub routers: BTreeMap<InstanceId, Option<Millis>>,
     /// When the agent began to leave.
@@ -53,14 +53,14 @@
     ///
     /// It may have granted a lease just before a restart, so it grants nothing for the length of a
     /// lease and its margin.
-    pub fn new(id: InstanceId, incarnation: u64, now: Millis, knobs: AgentKnobs) -> Self {
-        let wait = knobs.lease_ms + knobs.margin_ms;
+    pub fn new(own_id: InstanceId, incarnation: u64, now: Millis, params: AgentParams) -> Self {
+        let wait = params.lease_ms + params.margin_ms;
         Self {
             rules: Rules::default(),
             ready_at: now + wait,
             queue: JobQueue::default(),
-            knobs,
-            id,
+            params,
+            own_id,
             incarnation,
             brief: Brief::default(),
             seen_epoch: 0,
@@ -68,7 +68,7 @@
             share: None,
             lead: None,
             running: BTreeMap::new(),
-            memory: OnceMemory::default(),
+            memory: ClaimMemory::default(),
             routers: BTreeMap::new(),
             leaving_at: None,
             stopping: false,
@@ -81,7 +81,7 @@
     /// The agent as others see it.
     pub fn as_peer(&self) -> Peer {
         Peer {
-            id: self.id.clone(),
+            id: self.own_id.clone(),
             incarnation: self.incarnation,
             role: PeerRole::Agent,
         }
--- a/src/logic/agent/memory.rs
+++ b/src/logic/agent/claim_memory.rs
@@ -1,4 +1,4 @@
-use super::{OnceEntry, OnceState};
+use super::{ClaimEntry, ClaimStatus};
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::message::ClaimKey;
@@ -8,27 +8,27 @@
 ///
 /// An entry is kept at least until its claim has expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct OnceMemory {
-    entries: BTreeMap<ClaimKey, OnceEntry>,
+pub struct ClaimMemory {
+    entries: BTreeMap<ClaimKey, ClaimEntry>,
     /// Keys whose answers are kept, the oldest first.
     answered: VecDeque<ClaimKey>,
     /// Size of those answers, in bytes.
     answer_bytes: usize,
 }
 
-impl OnceMemory {
+impl ClaimMemory {
     /// What is known of a key.
-    pub fn get(&self, key: &ClaimKey) -> Option<&OnceEntry> {
+    pub fn get(&self, key: &ClaimKey) -> Option<&ClaimEntry> {
         self.entries.get(key)
     }
 
     /// Stores what is known of a key.
-    pub fn put(&mut self, key: ClaimKey, entry: OnceEntry) {
+    pub fn put(&mut self, key: ClaimKey, entry: ClaimEntry) {
         self.entries.insert(key, entry);
     }
 
     /// Changes what is known of a key that is present.
-    pub fn set(&mut self, key: &ClaimKey, state: OnceState) {
+    pub fn set(&mut self, key: &ClaimKey, state: ClaimStatus) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.state = state;
         }
@@ -37,8 +37,8 @@
     /// Stores the end of an active key, and evicts the oldest answers beyond `limit` bytes.
     ///
     /// The key of an evicted answer stays, so that the request isn't run again.
-    pub fn finish(&mut self, key: &ClaimKey, state: OnceState, limit: usize) {
-        if let OnceState::Done {
+    pub fn finish(&mut self, key: &ClaimKey, state: ClaimStatus, limit: usize) {
+        if let ClaimStatus::Done {
             text: Some(text), ..
         } = &state
         {
@@ -56,14 +56,14 @@
 
     fn evict_answer(&mut self, key: &ClaimKey) {
         let state = self.entries.get_mut(key).map(|e| &mut e.state);
-        if let Some(OnceState::Done { text, .. }) = state {
+        if let Some(ClaimStatus::Done { text, .. }) = state {
             self.answer_bytes -= text.take().map_or(0, |t| t.len());
         }
     }
 
     /// Removes expired entries, except those of requests that wait or run.
     pub fn expire(&mut self, now: Millis) {
-        let is_kept = |e: &OnceEntry| e.until > now || matches!(e.state, OnceState::Active(_));
+        let is_kept = |e: &ClaimEntry| e.until > now || matches!(e.state, ClaimStatus::Active(_));
         let expired: Vec<_> = self
             .answered
             .iter()
--- a/src/logic/agent/once_state.rs
+++ b/src/logic/agent/claim_status.rs
@@ -2,7 +2,7 @@
 
 /// What is remembered of one claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum OnceState {
+pub enum ClaimStatus {
     /// No attempt up to the entry's number has run, or will run.
     Barred,
     /// Waiting or running as this run.
--- a/src/logic/agent/claims.rs
+++ b/src/logic/agent/claims.rs
@@ -1,6 +1,6 @@
 //! Claimed requests, which may not be repeated: refusals and answers to queries about them.
 
-use super::{AgentState, OnceEntry, OnceState};
+use super::{AgentState, ClaimEntry, ClaimStatus};
 use crate::logic::Effect;
 use crate::message::{Message, Once, Recall, Refusal, RunId, RunOrder};
 use crate::types::{InstanceId, Millis};
@@ -10,8 +10,8 @@
     let once = order.once?;
     let entry = state.memory.get(&once.key)?;
     match entry.state {
-        OnceState::Barred if once.attempt > entry.attempt => None,
-        OnceState::Barred => Some(Refusal::Cancelled),
+        ClaimStatus::Barred if once.attempt > entry.attempt => None,
+        ClaimStatus::Barred => Some(Refusal::Cancelled),
         _ => Some(Refusal::Duplicate),
     }
 }
@@ -57,17 +57,17 @@
     let known = state.memory.get(&query.once.key).cloned();
     match known.map(|e| (e.attempt, e.state)) {
         None if !query.bar => Recall::NotSeen,
-        None | Some((_, OnceState::Barred)) => {
+        None | Some((_, ClaimStatus::Barred)) => {
             if state.rules.query_bars {
                 bar(state, now, &query.once);
             }
             Recall::NotRun
         }
         Some((attempt, _)) if attempt < query.once.attempt => Recall::Lost,
-        Some((_, OnceState::Active(run))) => add_watcher(state, from, query.run, &run),
+        Some((_, ClaimStatus::Active(run))) => add_watcher(state, from, query.run, &run),
         Some((
             _,
-            OnceState::Done {
+            ClaimStatus::Done {
                 status,
                 pieces,
                 text: Some(text),
@@ -77,7 +77,7 @@
             pieces,
             text,
         },
-        Some((_, OnceState::Done { text: None, .. } | OnceState::Lost)) => Recall::Lost,
+        Some((_, ClaimStatus::Done { text: None, .. } | ClaimStatus::Lost)) => Recall::Lost,
     }
 }
 
@@ -85,12 +85,12 @@
 fn bar(state: &mut AgentState, now: Millis, once: &Once) {
     let before = match state.memory.get(&once.key) {
         None => 0,
-        Some(entry) if entry.state == OnceState::Barred => entry.attempt,
+        Some(entry) if entry.state == ClaimStatus::Barred => entry.attempt,
         Some(_) => return,
     };
-    let entry = OnceEntry {
+    let entry = ClaimEntry {
         attempt: before.max(once.attempt),
-        state: OnceState::Barred,
+        state: ClaimStatus::Barred,
         until: now + once.keep_ms,
     };
     state.memory.put(once.key, entry);
--- a/src/logic/agent/estimate.rs
+++ b/src/logic/agent/estimate.rs
@@ -26,9 +26,9 @@
 /// Runs that it can pause and less urgent waiting requests don't count. Slots reserved for more
 /// urgent classes aren't available to it.
 pub(super) fn expected_wait(state: &AgentState, priority: u8) -> Millis {
-    let by_class = state.knobs.by_class;
+    let by_class = state.params.by_class;
     let ahead = |p: u8| !by_class || p <= priority;
-    let blocks = |r: &&super::Running| ahead(r.job.priority) || !r.job.preempt;
+    let blocks = |r: &&super::RunningJob| ahead(r.job.priority) || !r.job.preempt;
     let running = state.running.values().filter(blocks);
     let waiting = state.queue.jobs().iter().filter(|j| ahead(j.priority));
     let slots = usable_slots(state, priority);
@@ -43,8 +43,8 @@
 }
 
 fn usable_slots(state: &AgentState, priority: u8) -> u64 {
-    let slots = u64::from(state.knobs.slots.max(1));
-    if !state.knobs.by_class {
+    let slots = u64::from(state.params.slots.max(1));
+    if !state.params.by_class {
         return slots;
     }
     let classes = state.brief.classes.iter();
--- a/src/logic/agent/grant.rs
+++ b/src/logic/agent/grant.rs
@@ -65,7 +65,7 @@
         return false;
     }
     let is_new = state.grant.as_ref().map(|g| g.epoch) != Some(request.epoch);
-    let until = now + request.lease_ms + state.knobs.margin_ms;
+    let until = now + request.lease_ms + state.params.margin_ms;
     state.grant = Some(Grant {
         group: request.group.clone(),
         epoch: request.epoch,
@@ -88,7 +88,7 @@
     if state.rules.start_wait && now < state.ready_at {
         return false;
     }
-    if request.lease_ms > state.knobs.lease_ms {
+    if request.lease_ms > state.params.lease_ms {
         return false;
     }
     if request.epoch < state.seen_epoch {
--- a/src/logic/agent/lead.rs
+++ b/src/logic/agent/lead.rs
@@ -7,7 +7,7 @@
 
 /// A member's presence lease as its leader records it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Hold {
+pub struct MemberLease {
     /// Held before this time on the leader's clock.
     pub until: Millis,
     /// Whether the member's endpoint has loaded.
@@ -20,7 +20,7 @@
 
 /// A group that this agent leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Lead {
+pub struct LedGroup {
     /// The group's record.
     pub record: GroupRecord,
     /// Number of the last round of lease requests.
@@ -28,7 +28,7 @@
     /// When each round was sent whose grants can still count.
     pub round_times: BTreeMap<u64, Millis>,
     /// Leases of the members.
-    pub leases: BTreeMap<InstanceId, Hold>,
+    pub leases: BTreeMap<InstanceId, MemberLease>,
     /// When the next round is due.
     pub next_round: Millis,
     /// When a member was first seen leaving.
@@ -41,12 +41,12 @@
     pub was_open: bool,
 }
 
-impl Lead {
+impl LedGroup {
     fn new(record: GroupRecord, now: Millis) -> Self {
         let leases = record
             .members
             .iter()
-            .map(|m| (m.instance.clone(), Hold::default()))
+            .map(|m| (m.instance.clone(), MemberLease::default()))
             .collect();
         Self {
             draining: record.phase == Phase::Draining,
@@ -90,7 +90,7 @@
     record: GroupRecord,
     out: &mut Vec<Effect>,
 ) {
-    if record.members.is_empty() || record.leader().instance != state.id {
+    if record.members.is_empty() || record.leader().instance != state.own_id {
         return;
     }
     if let Some(lead) = &mut state.lead {
@@ -112,13 +112,13 @@
         .with("epoch", record.epoch)
         .with("members", record.members.len());
     out.push(Effect::Log(event));
-    for member in record.members.iter().filter(|m| m.instance != state.id) {
-        out.push(Effect::Dial {
+    for member in record.members.iter().filter(|m| m.instance != state.own_id) {
+        out.push(Effect::OpenSession {
             to: member.instance.clone(),
             addr: member.addr,
         });
     }
-    state.lead = Some(Lead::new(record, now));
+    state.lead = Some(LedGroup::new(record, now));
     request_leases(state, now, out);
 }
 
@@ -131,20 +131,20 @@
         return;
     }
     lead.round += 1;
-    lead.next_round = now + state.knobs.ask_ms;
-    let oldest = now.saturating_sub(state.knobs.lease_ms);
+    lead.next_round = now + state.params.ask_ms;
+    let oldest = now.saturating_sub(state.params.lease_ms);
     lead.round_times.retain(|_, at| *at >= oldest);
     lead.round_times.insert(lead.round, now);
     let requests: Vec<_> = (0..lead.record.members.len())
         .map(|rank| {
             (
                 lead.record.members[rank].instance.clone(),
-                lease_request(lead, rank, state.knobs.lease_ms),
+                lease_request(lead, rank, state.params.lease_ms),
             )
         })
         .collect();
     for (member, request) in requests {
-        if member == state.id {
+        if member == state.own_id {
             request_own_lease(state, now, &request, out);
         } else {
             let message = Message::LeaseAsk(Box::new(request));
@@ -156,7 +156,7 @@
     }
 }
 
-fn lease_request(lead: &Lead, rank: usize, lease_ms: Millis) -> LeaseAsk {
+fn lease_request(lead: &LedGroup, rank: usize, lease_ms: Millis) -> LeaseAsk {
     let record = &lead.record;
     LeaseAsk {
         group: record.id.clone(),
@@ -185,7 +185,7 @@
         return;
     }
     let share = state.share.as_ref();
-    let lease = Hold {
+    let lease = MemberLease {
         until: 0,
         ready: share.is_some_and(|s| s.is_ready(request.epoch)),
         failed: share.is_some_and(|s| s.has_failed(request.epoch)),
@@ -201,10 +201,10 @@
     from: &InstanceId,
     epoch: u64,
     round: u64,
-    lease: Hold,
+    lease: MemberLease,
 ) {
     let from_request = state.rules.early_clock;
-    let lease_ms = state.knobs.lease_ms;
+    let lease_ms = state.params.lease_ms;
     let Some(lead) = &mut state.lead else {
         return;
     };
@@ -219,7 +219,7 @@
     };
     let start = if from_request { sent_at } else { now };
     let until = held.until.max(start + lease_ms);
-    *held = Hold { until, ..lease };
+    *held = MemberLease { until, ..lease };
     if lease.leaving && lead.leaving_at.is_none() {
         lead.leaving_at = Some(now);
     }
@@ -298,10 +298,15 @@
     }
 }
 
-fn return_lease(state: &mut AgentState, lead: &Lead, member: &InstanceId, out: &mut Vec<Effect>) {
+fn return_lease(
+    state: &mut AgentState,
+    lead: &LedGroup,
+    member: &InstanceId,
+    out: &mut Vec<Effect>,
+) {
     let group = lead.record.id.clone();
     let epoch = lead.record.epoch;
-    if *member == state.id {
+    if *member == state.own_id {
         let me = state.as_peer();
         grant::on_lease_returned(state, &me, &group, epoch, out);
         return;
@@ -310,7 +315,7 @@
         to: member.clone(),
         message: Message::LeaseReturn { group, epoch },
     });
-    out.push(Effect::Hangup(member.clone()));
+    out.push(Effect::CloseSession(member.clone()));
 }
 
 /// Whether a higher epoch has been seen and the own grant to the epoch that is led is gone.
--- a/src/logic/agent/leave.rs
+++ b/src/logic/agent/leave.rs
@@ -19,7 +19,7 @@
 
 /// Drains the led group once `leave_ms` has passed since a member was first seen leaving.
 pub(super) fn drain_if_due(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
-    let leave_ms = state.knobs.leave_ms;
+    let leave_ms = state.params.leave_ms;
     let due = state
         .lead
         .as_ref()
--- a/src/logic/agent/load.rs
+++ b/src/logic/agent/load.rs
@@ -5,16 +5,16 @@
 
 /// The load order of the own endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Share {
+pub struct EndpointLoad {
     /// Epoch under which the load was ordered.
     pub epoch: u64,
     /// Progress.
-    pub state: ShareState,
+    pub state: LoadState,
 }
 
 /// Progress of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ShareState {
+pub enum LoadState {
     /// Ordered.
     Loading,
     /// Loaded.
@@ -23,15 +23,15 @@
     Failed(Millis),
 }
 
-impl Share {
+impl EndpointLoad {
     /// Whether the endpoint has loaded for an epoch.
     pub fn is_ready(&self, epoch: u64) -> bool {
-        self.epoch == epoch && self.state == ShareState::Ready
+        self.epoch == epoch && self.state == LoadState::Ready
     }
 
     /// Whether the endpoint has failed to load for an epoch.
     pub fn has_failed(&self, epoch: u64) -> bool {
-        self.epoch == epoch && matches!(self.state, ShareState::Failed(_))
+        self.epoch == epoch && matches!(self.state, LoadState::Failed(_))
     }
 }
 
@@ -46,16 +46,16 @@
 ) {
     let is_due = match &state.share {
         Some(share) if share.epoch == request.epoch => {
-            matches!(share.state, ShareState::Failed(at) if now >= at)
+            matches!(share.state, LoadState::Failed(at) if now >= at)
         }
         _ => true,
     };
     if !is_due {
         return;
     }
-    state.share = Some(Share {
+    state.share = Some(EndpointLoad {
         epoch: request.epoch,
-        state: ShareState::Loading,
+        state: LoadState::Loading,
     });
     out.push(Effect::Endpoint(EndpointCall::Load(Box::new(LoadOrder {
         epoch: request.epoch,
@@ -78,7 +78,7 @@
     ok: bool,
     out: &mut Vec<Effect>,
 ) {
-    let retry_at = now + state.knobs.load_retry_ms;
+    let retry_at = now + state.params.load_retry_ms;
     let Some(share) = &mut state.share else {
         return;
     };
@@ -86,10 +86,10 @@
         return;
     }
     let code = if ok {
-        share.state = ShareState::Ready;
+        share.state = LoadState::Ready;
         LogCode::Loaded
     } else {
-        share.state = ShareState::Failed(retry_at);
+        share.state = LoadState::Failed(retry_at);
         LogCode::LoadFailed
     };
     out.push(Effect::Log(LogEvent::new(code).with("epoch", epoch)));
--- a/src/logic/agent/mod.rs
+++ b/src/logic/agent/mod.rs
@@ -5,8 +5,11 @@
 //! that may not be repeated, and drains before it leaves.
 
 mod admission;
-mod agent_knobs;
+mod agent_params;
 mod agent_state;
+mod claim_entry;
+mod claim_memory;
+mod claim_status;
 mod claims;
 mod estimate;
 mod grant;
@@ -14,24 +17,21 @@
 mod lead;
 mod leave;
 mod load;
-mod memory;
-mod once_entry;
-mod once_state;
-mod pump;
 mod queue;
 mod report;
 mod runs;
+mod scheduler;
 mod step;
 
-pub use agent_knobs::AgentKnobs;
+pub use agent_params::AgentParams;
 pub use agent_state::AgentState;
+pub use claim_entry::ClaimEntry;
+pub use claim_memory::ClaimMemory;
+pub use claim_status::ClaimStatus;
 pub use grant::Grant;
 pub use job::Job;
-pub use lead::{Hold, Lead};
-pub use load::{Share, ShareState};
-pub use memory::OnceMemory;
-pub use once_entry::OnceEntry;
-pub use once_state::OnceState;
+pub use lead::{LedGroup, MemberLease};
+pub use load::{EndpointLoad, LoadState};
 pub use queue::JobQueue;
-pub use runs::{Running, StopReason};
+pub use runs::{RunningJob, StopReason};
 pub(crate) use step::step;
--- a/src/logic/agent/report.rs
+++ b/src/logic/agent/report.rs
@@ -22,7 +22,7 @@
     }
     if without_load(&report) != without_load(&state.last_report) {
         out.extend(state.routers.keys().map(|r| report_to(r, &report)));
-    } else if now < state.reported_at + state.knobs.report_ms {
+    } else if now < state.reported_at + state.params.report_ms {
         return;
     } else if let Some(lead) = &report.lead {
         let load = LoadReport {
@@ -78,7 +78,7 @@
 
 fn lead_report(state: &AgentState, now: Millis) -> Option<LeadReport> {
     let lead = state.lead.as_ref()?;
-    let members_with = |matches: &dyn Fn(&super::Hold) -> bool| -> Vec<InstanceId> {
+    let members_with = |matches: &dyn Fn(&super::MemberLease) -> bool| -> Vec<InstanceId> {
         let members = lead.leases.iter().filter(|(_, h)| matches(h));
         members.map(|(i, _)| i.clone()).collect()
     };
@@ -95,7 +95,7 @@
         leaving: members_with(&|h| h.leaving),
         failed: members_with(&|h| h.failed),
         ready: lead.all_ready(),
-        slots: state.knobs.slots,
+        slots: state.params.slots,
         running: state.running.len() as u32,
         loads: estimate::class_loads(state),
     })
--- a/src/logic/agent/runs.rs
+++ b/src/logic/agent/runs.rs
@@ -1,6 +1,6 @@
 //! Runs at the endpoint and the ends of requests: pieces, results, refusals, cancellations.
 
-use super::{estimate, AgentState, Job, OnceState};
+use super::{estimate, AgentState, ClaimStatus, Job};
 use crate::logic::{Effect, EndpointCall, RunResult};
 use crate::message::{AttemptEnd, Message, Refusal, RunId};
 use crate::types::{InstanceId, Millis};
@@ -16,7 +16,7 @@
 
 /// A request handed to the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Running {
+pub struct RunningJob {
     /// The request.
     pub job: Job,
     /// Epoch of the group, the fence of the order.
@@ -86,13 +86,13 @@
 
 fn end_complete(state: &mut AgentState, job: &Job, status: u16, out: &mut Vec<Effect>) {
     if let Some(once) = &job.order.once {
-        let fits = job.text.len() <= state.knobs.answer_bytes as usize;
-        let done = OnceState::Done {
+        let fits = job.text.len() <= state.params.answer_bytes as usize;
+        let done = ClaimStatus::Done {
             status,
             pieces: job.pieces,
             text: fits.then(|| job.text.clone()),
         };
-        let limit = state.knobs.answers_bytes as usize;
+        let limit = state.params.answers_bytes as usize;
         state.memory.finish(&once.key, done, limit);
     }
     let end = AttemptEnd::Complete {
@@ -104,7 +104,7 @@
 
 fn end_broken(state: &mut AgentState, job: &Job, out: &mut Vec<Effect>) {
     if let Some(once) = &job.order.once {
-        state.memory.set(&once.key, OnceState::Lost);
+        state.memory.set(&once.key, ClaimStatus::Lost);
     }
     send_end(job, &AttemptEnd::Broken, out);
 }
@@ -117,7 +117,7 @@
         return;
     }
     if let Some(once) = &job.order.once {
-        state.memory.set(&once.key, OnceState::Barred);
+        state.memory.set(&once.key, ClaimStatus::Barred);
     }
     send_end(job, &AttemptEnd::Refused(refusal.clone()), out);
 }
--- a/src/logic/agent/pump.rs
+++ b/src/logic/agent/scheduler.rs
@@ -1,6 +1,6 @@
 //! Hands waiting requests to the endpoint as slots allow.
 
-use super::{AgentState, Job, Running, StopReason};
+use super::{AgentState, Job, RunningJob, StopReason};
 use crate::logic::{Effect, EndpointCall, StartOrder};
 use crate::types::Millis;
 
@@ -9,7 +9,7 @@
     if !state.open(now) {
         return;
     }
-    while let Some(index) = state.queue.next_index(state.knobs.by_class) {
+    while let Some(index) = state.queue.next_index(state.params.by_class) {
         let priority = state.queue.jobs()[index].priority;
         if !has_free_slot(state, priority) {
             pause_for(state, priority, out);
@@ -24,8 +24,8 @@
 ///
 /// Slots that are reserved for more urgent classes, and not in use by them, stay free.
 fn has_free_slot(state: &AgentState, priority: u8) -> bool {
-    let free = (state.knobs.slots as usize).saturating_sub(state.running.len());
-    if !state.knobs.by_class {
+    let free = (state.params.slots as usize).saturating_sub(state.running.len());
+    if !state.params.by_class {
         return free > 0;
     }
     let reserved: usize = state
@@ -53,7 +53,7 @@
 ///
 /// No more runs are stopped at a time than requests of this or a higher urgency wait.
 fn pause_for(state: &mut AgentState, priority: u8, out: &mut Vec<Effect>) {
-    if !state.knobs.by_class {
+    if !state.params.by_class {
         return;
     }
     let waiting = state
@@ -111,7 +111,7 @@
     ))));
     let epoch = lead.record.epoch;
     job.first_start.get_or_insert(now);
-    let running = Running {
+    let running = RunningJob {
         job,
         epoch,
         started_at: now,
--- a/src/logic/agent/step.rs
+++ b/src/logic/agent/step.rs
@@ -1,4 +1,6 @@
-use super::{admission, claims, grant, lead, leave, load, pump, report, runs, AgentState, Hold};
+use super::{
+    admission, claims, grant, lead, leave, load, report, runs, scheduler, AgentState, MemberLease,
+};
 use crate::logic::{Effect, EndpointEvent, Event, LogCode, LogEvent, Peer, PeerRole};
 use crate::message::Message;
 use crate::types::{Brief, InstanceId, Millis};
@@ -10,8 +12,8 @@
             state.stopping = true;
             leave::begin(state, now, out);
         }
-        Event::Up(peer) => on_peer_up(state, now, &peer, out),
-        Event::Down(id) => on_peer_down(state, &id, out),
+        Event::SessionOpened(peer) => on_peer_up(state, now, &peer, out),
+        Event::SessionClosed(id) => on_peer_down(state, &id, out),
         Event::Message { from, message } => on_message(state, now, &from, message, out),
         Event::Endpoint(event) => on_endpoint_event(state, now, event, out),
         // A tick needs only what follows; the other events are for routers.
@@ -26,7 +28,7 @@
     state.memory.expire(now);
     runs::refuse_expired(state, now, out);
     lead::on_tick(state, now, out);
-    pump::start_waiting(state, now, out);
+    scheduler::start_waiting(state, now, out);
     report::send_changes(state, now, out);
     leave::exit_when_done(state, out);
 }
@@ -117,7 +119,7 @@
             leaving,
             bundle,
         } => {
-            let lease = Hold {
+            let lease = MemberLease {
                 until: 0,
                 ready,
                 failed,
@@ -179,6 +181,6 @@
         }
         EndpointEvent::Piece { run, text } => runs::on_piece(state, &run, text, out),
         EndpointEvent::Ended { run, result } => runs::on_end(state, now, &run, result, out),
-        EndpointEvent::Status { slots } => state.knobs.slots = slots.max(1),
+        EndpointEvent::Status { slots } => state.params.slots = slots.max(1),
     }
 }
--- a/src/logic/direct/crashes/crash_store.rs
+++ b/src/logic/direct/crashes/crash_store.rs
@@ -8,7 +8,7 @@
 use super::crash_table::RETENTION_MS;
 use super::{share, CrashReport, CrashStore};
 use crate::logic::direct::{DirectState, Fingerprint};
-use crate::logic::router::{Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
+use crate::logic::router::{KeyWrite, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
@@ -66,9 +66,9 @@
         out.push(invalid_record(&request.to_string(), &e.to_string()));
         String::new()
     });
-    StoreCall::Swap {
+    StoreCall::Transaction {
         checks: Vec::new(),
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key: key(&request),
             value,
             lease: Some(lease),
@@ -88,7 +88,7 @@
     store.call = None;
     match result {
         Ok(StoreReply::Lease { lease, ttl_s }) if *ttl_s > 0 => store.lease = Some(*lease),
-        Ok(StoreReply::Swapped { done: true, .. }) => {
+        Ok(StoreReply::Transaction { done: true, .. }) => {
             store.lease = None;
             if let Some(request) = store.current.take() {
                 store.queue.remove(&request);
--- a/src/logic/direct/direct_state.rs
+++ b/src/logic/direct/direct_state.rs
@@ -154,7 +154,9 @@
             ),
             (
                 "figures_missing",
-                self.routing.as_ref().map_or(0, |r| r.gaps.len() as u64),
+                self.routing
+                    .as_ref()
+                    .map_or(0, |r| r.missing_values.len() as u64),
             ),
             ("idle_loads", self.idle(IdleReason::Loads)),
             ("idle_empty", self.idle(IdleReason::Empty)),
--- a/src/logic/direct/finish.rs
+++ b/src/logic/direct/finish.rs
@@ -46,7 +46,7 @@
     value: u64,
     out: &mut Vec<Effect>,
 ) {
-    out.push(Effect::Measure {
+    out.push(Effect::RecordMetric {
         metric,
         account: flight.account.clone().unwrap_or_else(|| "-".into()),
         class: flight.route.name.clone(),
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -11,7 +11,7 @@
     ObservationRequest, PeerMessage, ProbeResult,
 };
 use crate::logic::router::{
-    CallId, Put, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult,
+    CallId, KeyWrite, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult,
 };
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis};
@@ -59,9 +59,9 @@
     }
     let op = match (registration.lease, registration.written) {
         (None, _) => StoreCall::Grant { ttl_s: LEASE_S },
-        (Some(lease), false) => StoreCall::Swap {
+        (Some(lease), false) => StoreCall::Transaction {
             checks: Vec::new(),
-            puts: vec![Put {
+            puts: vec![KeyWrite {
                 key: format!("{ROUTER_PREFIX}{}", state.own_id),
                 value: addr.to_string(),
                 lease: Some(lease),
@@ -90,7 +90,7 @@
                 now
             };
         }
-        Ok(StoreReply::Swapped { done: true, .. }) => {
+        Ok(StoreReply::Transaction { done: true, .. }) => {
             registration.written = true;
             registration.next_at = now + RENEW_INTERVAL_MS;
         }
--- a/src/logic/direct/plan/duty.rs
+++ b/src/logic/direct/plan/duty.rs
@@ -1,7 +1,9 @@
 //! The planner lease: the key in the key-value service whose holder is the planner.
 
 use crate::logic::direct::{crashes, peers, DirectState};
-use crate::logic::router::{CallId, Check, Put, StoreCall, StoreChange, StoreReply, StoreResult};
+use crate::logic::router::{
+    CallId, KeyWrite, RevisionCheck, StoreCall, StoreChange, StoreReply, StoreResult,
+};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Millis, StorePosition};
 
@@ -173,18 +175,18 @@
 
 /// Writes the key under the own lease, unless it has changed since it was read.
 fn acquire_call(state: &DirectState, lease: i64) -> StoreCall {
-    StoreCall::Swap {
-        checks: vec![Check {
+    StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: KEY.to_string(),
             revision: state.plan.lease.revision,
         }],
         puts: vec![
-            Put {
+            KeyWrite {
                 key: KEY.to_string(),
                 value: state.own_id.to_string(),
                 lease: Some(lease),
             },
-            Put {
+            KeyWrite {
                 key: ERA_KEY.to_string(),
                 value: era(state).to_string(),
                 lease: None,
@@ -232,7 +234,9 @@
             planner_lease.ttl_ms = ttl_s * 1_000;
             planner_lease.grant_sent = at;
         }
-        (LeaseCall::Acquire(lease, _), Ok(StoreReply::Swapped { done, revision, .. })) if done => {
+        (LeaseCall::Acquire(lease, _), Ok(StoreReply::Transaction { done, revision, .. }))
+            if done =>
+        {
             planner_lease.lease_id = Some(lease);
             planner_lease.taken_at = StorePosition { era, revision };
             planner_lease.fence = planner_lease.taken_at.fence();
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -28,7 +28,7 @@
             crashes::on_watch_changes(state, now, &changes, out);
             plan::on_watch_changes(state, now, &changes);
         }
-        Event::WatchLost => plan::on_watch_lost(state),
+        Event::WatchInterrupted => plan::on_watch_lost(state),
         Event::Direct(event) => on_direct_event(state, now, event, out),
         Event::Tick => on_tick(state, now, out),
         _ => {}
@@ -114,9 +114,9 @@
         .with("before", known);
     out.push(Effect::Log(event));
     let before = state.routing.take();
-    let logged = before.as_ref().map_or(&[][..], |r| &r.gaps);
+    let logged = before.as_ref().map_or(&[][..], |r| &r.missing_values);
     for missing in routing
-        .gaps
+        .missing_values
         .iter()
         .filter(|missing| !logged.contains(missing))
     {
--- a/src/logic/effect.rs
+++ b/src/logic/effect.rs
@@ -16,15 +16,15 @@
         /// The message.
         message: Message,
     },
-    /// Open a session and keep it open until [`Effect::Hangup`].
-    Dial {
+    /// Open a session and keep it open until [`Effect::CloseSession`].
+    OpenSession {
         /// The peer.
         to: InstanceId,
         /// Its listening address.
         addr: SocketAddr,
     },
     /// Close a session and stop dialling.
-    Hangup(InstanceId),
+    CloseSession(InstanceId),
     /// Call the platform's key-value service.
     Store {
         /// Call number, echoed with the result.
@@ -38,7 +38,7 @@
         from: i64,
     },
     /// Fetch the instance list.
-    FetchList,
+    FetchInstances,
     /// Send an order to the endpoint.
     Endpoint(EndpointCall),
     /// Pass the next part of an answer to its caller.
@@ -58,7 +58,7 @@
     /// Write an event to the log.
     Log(LogEvent),
     /// Record a duration or count in the metrics.
-    Measure {
+    RecordMetric {
         /// Which metric.
         metric: super::router::Metric,
         /// Client account that it is recorded for.
--- a/src/logic/event.rs
+++ b/src/logic/event.rs
@@ -12,9 +12,9 @@
     /// The process was asked to shut down gracefully.
     Stop,
     /// A session with a peer has opened.
-    Up(Peer),
+    SessionOpened(Peer),
     /// The last session with a peer has closed.
-    Down(InstanceId),
+    SessionClosed(InstanceId),
     /// A message has arrived.
     Message {
         /// Its sender.
@@ -34,13 +34,13 @@
     /// The watch of the key-value service has reported changes, in order.
     Watch(Vec<StoreChange>),
     /// The watch was interrupted: changes may have been missed.
-    WatchLost,
+    WatchInterrupted,
     /// The instance list has arrived.
-    List(ListReply),
+    Instances(ListReply),
     /// A caller has sent a request.
     Request(Box<CallerRequest>),
     /// A caller has closed its connection before the end of its answer.
-    Gone(RequestId),
+    CallerGone(RequestId),
     /// An operator has made a call.
     Operator {
         /// Number of the operator's call, echoed in the reply.
--- a/src/logic/router/accept.rs
+++ b/src/logic/router/admission.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{finish, head, sending, AnswerPart, CallerRequest, OnceClaim, Problem, Request};
+use super::{attempts, finish, head, AnswerPart, CallerRequest, ClaimState, Problem, Request};
 use super::{RouterState, Stage};
 use crate::logic::Effect;
 use crate::message::ClaimKey;
@@ -21,11 +21,11 @@
             *state.accounts.entry(request.account.clone()).or_insert(0) += 1;
             state.requests.insert(id, request);
             state.budget.earn();
-            sending::dispatch(state, now, id, out);
+            attempts::dispatch(state, now, id, out);
         }
         Err(mut problem) => {
             if problem.retry_ms.is_some() {
-                problem.retry_ms = Some(state.spread(state.knobs.hint_ms));
+                problem.retry_ms = Some(state.spread(state.params.hint_ms));
             }
             finish::log_problem(id, &problem, out);
             out.push(Effect::Answer {
@@ -38,7 +38,7 @@
 
 /// Checks a request against the bundle in force and the limits, and builds its state.
 fn admit(state: &RouterState, now: Millis, call: CallerRequest) -> Result<Request, Problem> {
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     if state.stopping {
         return Err(
             Problem::not_run(503, "this router is shutting down; try again").retry_in(hint),
@@ -56,7 +56,7 @@
     let class = find_class(body, account, &call)?;
     check_model(body, &call)?;
     check_limits(state, account)?;
-    let once = new_claim(account, class, &call)?;
+    let claim = new_claim(account, class, &call)?;
     let left = call.deadline_ms.unwrap_or(class.deadline_ms);
     if left == 0 {
         return Err(Problem::not_run(400, "the deadline has passed already"));
@@ -73,8 +73,8 @@
         body: call.body,
         since: now,
         deadline: now + left,
-        once,
-        stage: Stage::Parked(now),
+        claim,
+        stage: Stage::Delayed(now),
         attempt: 0,
         maybe_ran: false,
         pieces: 0,
@@ -133,14 +133,14 @@
 }
 
 fn check_limits(state: &RouterState, account: &AccountSpec) -> Result<(), Problem> {
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     let used = state.accounts.get(&account.name).copied().unwrap_or(0);
     if used >= account.limit {
         let detail =
             format!("the client account has {used} requests in flight, which is its limit");
         return Err(Problem::not_run(429, detail).retry_in(hint));
     }
-    if state.requests.len() >= state.knobs.request_limit as usize {
+    if state.requests.len() >= state.params.request_limit as usize {
         let detail = "this router has reached its limit of requests in flight";
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
@@ -154,7 +154,7 @@
     account: &AccountSpec,
     class: &ClassSpec,
     call: &CallerRequest,
-) -> Result<Option<OnceClaim>, Problem> {
+) -> Result<Option<ClaimState>, Problem> {
     let Some(key) = &call.once_key else {
         if class.repeat {
             return Ok(None);
@@ -165,12 +165,12 @@
         );
         return Err(Problem::not_run(400, detail));
     };
-    Ok(Some(OnceClaim {
+    Ok(Some(ClaimState {
         key: ClaimKey::new(&account.name, key),
         content: ClaimKey::of_content(&call.model, &call.path, &call.body),
         attempt: 0,
         incarnation: 0,
         revision: 0,
-        mine: false,
+        is_own: false,
     }))
 }
--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{planner, recalling, sending, AgentView, RouterState, Stage};
+use super::{attempts, claim_query, planner, AgentView, RouterState, Stage};
 use crate::logic::{Effect, Peer};
 use crate::message::{LoadReport, Message, Report};
 use crate::types::{Brief, GroupRecord, InstanceId, Millis};
@@ -37,17 +37,17 @@
         .collect();
     for id in unwanted {
         state.agents.remove(&id);
-        out.push(Effect::Hangup(id));
+        out.push(Effect::CloseSession(id));
     }
     for (id, addr) in wanted {
         let moved = state.agents.get(&id).is_some_and(|a| a.addr != addr);
         if moved {
             state.agents.remove(&id);
-            out.push(Effect::Hangup(id.clone()));
+            out.push(Effect::CloseSession(id.clone()));
         }
         if !state.agents.contains_key(&id) {
             state.agents.insert(id.clone(), AgentView::new(addr, now));
-            out.push(Effect::Dial { to: id, addr });
+            out.push(Effect::OpenSession { to: id, addr });
         }
     }
 }
@@ -66,7 +66,7 @@
                 let leader = group.leader();
                 wanted.insert(leader.instance.clone(), leader.addr);
             } else {
-                let rank = rendezvous_rank(&state.me, group);
+                let rank = rendezvous_rank(&state.own_id, group);
                 far.entry(group.model.clone())
                     .or_default()
                     .push((rank, group));
@@ -75,13 +75,13 @@
     }
     for mut groups in far.into_values() {
         groups.sort_by_key(|(rank, _)| *rank);
-        for (_, group) in groups.iter().take(state.knobs.far_groups as usize) {
+        for (_, group) in groups.iter().take(state.params.far_groups as usize) {
             let leader = group.leader();
             wanted.insert(leader.instance.clone(), leader.addr);
         }
     }
     for request in state.requests.values() {
-        if let Stage::Recalling { agent, addr, .. } = &request.stage {
+        if let Stage::Querying { agent, addr, .. } = &request.stage {
             wanted.insert(agent.clone(), *addr);
         }
         if let Stage::Sent { agent, .. } = &request.stage {
@@ -121,7 +121,7 @@
     view.bundle = 0;
     if before.is_some() {
         // The new session replaces an old one; what was sent on that may be lost.
-        sending::on_agent_lost(state, now, &peer.id, out);
+        attempts::on_agent_lost(state, now, &peer.id, out);
     }
     send_brief(state, &peer.id, out);
     let led: Vec<_> = state
@@ -134,7 +134,7 @@
         out.push(assign_record(record));
     }
     notify_leaving(state, &peer.id, out);
-    recalling::on_agent_up(state, now, peer, out);
+    claim_query::on_agent_up(state, now, peer, out);
 }
 
 /// Handles a session with an agent that has closed.
@@ -152,7 +152,7 @@
     view.down_since = now;
     // A planner dials the second member of a group whose leader can't be reached.
     schedule_dial(state, now);
-    sending::on_agent_lost(state, now, id, out);
+    attempts::on_agent_lost(state, now, id, out);
 }
 
 /// Handles an agent's report: keeps it, and sends a newer brief or record where the agent needs it.
--- a/src/logic/router/sending.rs
+++ b/src/logic/router/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{agents, claim_batch, claiming, finish, recalling, route};
+use super::{agents, claim_batch, claim_query, claims, finish, route};
 use super::{AnswerPart, Metric, Problem, Request, RouterState, Stage};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::message::{AttemptEnd, Message, Once, Refusal, RunId, RunOrder};
@@ -17,8 +17,8 @@
         Ok(choice) => choice,
         Err(problem) => return finish::give_up(state, now, id, problem, out),
     };
-    if request.once.is_some() && state.rules.claim_first {
-        claiming::begin(state, now, id, choice.agent, choice.group, out);
+    if request.claim.is_some() && state.rules.claim_first {
+        claims::begin(state, now, id, choice.agent, choice.group, out);
     } else {
         send(state, now, id, &choice.agent, &choice.group, out);
     }
@@ -26,7 +26,7 @@
 
 /// Sends the next attempt to a group's leader.
 ///
-/// The request is parked if there is no session with the leader or no record of the group.
+/// The request is delayed if there is no session with the leader or no record of the group.
 pub(super) fn send(
     state: &mut RouterState,
     now: Millis,
@@ -61,7 +61,7 @@
         account: request.account.clone(),
         share: request.share,
         left_ms: request.left(now),
-        once: request.once.as_ref().map(|o| Once {
+        once: request.claim.as_ref().map(|o| Once {
             key: o.key,
             attempt: o.attempt.max(1),
             keep_ms,
@@ -88,8 +88,8 @@
 
 /// Delays the next dispatch of a request by `park_ms`, or gives it up if its deadline comes first.
 pub(super) fn park(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
-    let at = now + state.knobs.park_ms;
-    let hint = state.knobs.hint_ms;
+    let at = now + state.params.park_ms;
+    let hint = state.params.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
@@ -97,7 +97,7 @@
         let problem = Problem::not_run(504, "no time is left for another attempt").retry_in(hint);
         return finish::give_up(state, now, id, problem, out);
     }
-    request.stage = Stage::Parked(at);
+    request.stage = Stage::Delayed(at);
 }
 
 /// Handles a piece of an answer: only the next offset of the present attempt is passed on.
@@ -133,7 +133,7 @@
     out: &mut Vec<Effect>,
 ) {
     if request.pieces == 0 {
-        out.push(Effect::Measure {
+        out.push(Effect::RecordMetric {
             metric: Metric::FirstPiece,
             account: request.account.clone(),
             class: request.class.clone(),
@@ -205,20 +205,20 @@
 ) {
     let group = remove_from_load(state, id);
     let number = state.number();
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
     request.avoid = group;
-    request.stage = Stage::Parked(now);
-    let tries_left = request.attempt < state.knobs.claim_tries;
-    if request.once.is_some() && refusal == Refusal::Cancelled && tries_left {
+    request.stage = Stage::Delayed(now);
+    let tries_left = request.attempt < state.params.claim_tries;
+    if request.claim.is_some() && refusal == Refusal::Cancelled && tries_left {
         // Another router has barred this attempt: claim the request again. If the claim has
         // changed, that write returns what stands now.
         return dispatch(state, now, id, out);
     }
-    if request.once.is_some() && refusal == Refusal::Duplicate {
-        return recalling::begin_for_attempt(state, now, id, agent, out);
+    if request.claim.is_some() && refusal == Refusal::Duplicate {
+        return claim_query::begin_for_attempt(state, now, id, agent, out);
     }
     if let Refusal::Behind(bundle) = refusal {
         if let Some(view) = state.agents.get_mut(agent) {
@@ -248,14 +248,14 @@
     out: &mut Vec<Effect>,
 ) {
     let group = remove_from_load(state, id);
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
     request.maybe_ran = true;
     request.avoid = group;
-    request.stage = Stage::Parked(now);
-    if request.once.is_some() {
+    request.stage = Stage::Delayed(now);
+    if request.claim.is_some() {
         let detail = "the answer broke off; the request may have run and is not run again";
         return finish::end_with_problem(state, now, id, Problem::unknown(502, detail), out);
     }
@@ -272,7 +272,7 @@
 
 /// Retries if the number of attempts and the retry budget allow it; otherwise gives the request up.
 ///
-/// `retry_ms` is the hint for the caller if the request is given up; `delayed` parks the request
+/// `retry_ms` is the hint for the caller if the request is given up; `delayed` delays the request
 /// before the next attempt.
 fn retry_or_give_up(
     state: &mut RouterState,
@@ -283,7 +283,7 @@
     delayed: bool,
     out: &mut Vec<Effect>,
 ) {
-    let limit = state.knobs.attempts;
+    let limit = state.params.attempts;
     let attempt = state.requests.get(&id).map_or(0, |r| r.attempt);
     if attempt >= limit || !state.budget.spend() {
         let problem = Problem::not_run(503, detail).retry_in(retry_ms);
@@ -307,7 +307,7 @@
 
 fn retry_metric(request: &Request) -> Effect {
     let account: Arc<str> = request.account.clone();
-    Effect::Measure {
+    Effect::RecordMetric {
         metric: Metric::Retry,
         account,
         class: request.class.clone(),
@@ -328,46 +328,46 @@
         .requests
         .values()
         .filter(|r| matches!(&r.stage, Stage::Sent { agent: a, .. } if a == agent))
-        .map(|r| (r.id, r.once.is_some()))
+        .map(|r| (r.id, r.claim.is_some()))
         .collect();
-    for (id, once) in lost {
-        if once {
+    for (id, is_claimed) in lost {
+        if is_claimed {
             remove_from_load(state, id);
-            recalling::begin_for_attempt(state, now, id, agent, out);
+            claim_query::begin_for_attempt(state, now, id, agent, out);
         } else {
             on_broken_attempt(state, now, id, out);
         }
     }
 }
 
-/// Ends requests past their deadline and grace period, and dispatches parked ones that are due.
+/// Ends requests past their deadline and grace period, and dispatches delayed ones that are due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let grace = state.knobs.grace_ms;
-    let mut parked = Vec::new();
+    let grace = state.params.grace_ms;
+    let mut delayed = Vec::new();
     let mut late = Vec::new();
     for request in state.requests.values() {
         if now >= request.deadline + grace {
             late.push(request.id);
-        } else if matches!(request.stage, Stage::Parked(at) if now >= at) {
-            parked.push(request.id);
+        } else if matches!(request.stage, Stage::Delayed(at) if now >= at) {
+            delayed.push(request.id);
         }
     }
     for id in late {
         on_deadline(state, now, id, out);
     }
-    for id in parked {
+    for id in delayed {
         dispatch(state, now, id, out);
     }
 }
 
 /// Ends a request whose deadline and grace period have passed.
 fn on_deadline(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     let Some(request) = state.requests.get(&id) else {
         return;
     };
     let problem = match &request.stage {
-        Stage::Parked(_) => {
+        Stage::Delayed(_) => {
             let problem = Problem::not_run(504, "the deadline has passed").retry_in(hint);
             return finish::give_up(state, now, id, problem, out);
         }
@@ -385,7 +385,7 @@
             let detail = "the claim on its key could not be settled; try again with the same key";
             Problem::unknown(504, detail).retry_in(hint)
         }
-        Stage::Recalling { .. } => Problem::unknown(
+        Stage::Querying { .. } => Problem::unknown(
             504,
             "the agent named in its claim didn't report the outcome in time",
         ),
--- a/src/logic/router/calls.rs
+++ b/src/logic/router/calls.rs
@@ -1,4 +1,4 @@
-use super::WaitingClaim;
+use super::QueuedClaim;
 use crate::types::{DomainRecord, Millis};
 
 /// Number of a call to the key-value service within one process.
@@ -6,7 +6,7 @@
 
 /// Why a call was made, which decides how its result is handled.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Purpose {
+pub enum CallPurpose {
     /// Read everything below `fleet/`.
     ReadFleet,
     /// Prove that the bundle in force is the newest; sent at this time.
@@ -30,7 +30,7 @@
     /// Write the head.
     Roll,
     /// Write a batch of claims.
-    Claims(Vec<WaitingClaim>),
+    Claims(Vec<QueuedClaim>),
     /// Request the lease that claims are attached to; sent at this time.
     ClaimLease(Millis),
     /// Read whether another router holds the planner lease.
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -1,4 +1,4 @@
-use super::{claim_writers, Check, Keys, Purpose, Put, RouterState, StoreCall};
+use super::{claim_writers, CallPurpose, KeyWrite, Keys, RevisionCheck, RouterState, StoreCall};
 use crate::logic::Effect;
 use crate::message::{ClaimWrite, Message};
 use crate::types::{InstanceId, Millis};
@@ -17,12 +17,12 @@
 
 /// How long an agent has to remember a key, in milliseconds.
 pub(super) fn retention_ms(state: &RouterState) -> Millis {
-    state.knobs.claim_keep_ms * RETENTION_FACTOR
+    state.params.claim_keep_ms * RETENTION_FACTOR
 }
 
 /// A claim that is queued for the next batch write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct WaitingClaim {
+pub struct QueuedClaim {
     /// The claim.
     pub write: ClaimWrite,
     /// Router that forwarded it; absent for a claim of this router.
@@ -31,7 +31,7 @@
 
 /// A claim that was forwarded to another router to be written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct AwayClaim {
+pub struct ForwardedClaim {
     /// The claim.
     pub write: ClaimWrite,
     /// When it is queued here if no reply has come.
@@ -40,16 +40,16 @@
 
 /// Claims queued for the next batch write, and the lease that they are attached to.
 ///
-/// One write carries up to [`RouterKnobs::claim_batch`](super::RouterKnobs)
+/// One write carries up to [`RouterParams::claim_batch`](super::RouterParams)
 /// claims. All claims written within an eighth of `claim_keep_ms` share a lease. In a
 /// fleet of many routers a few write the claims of all, so that the rate of writes
 /// doesn't grow with the number of routers; nothing else depends on which router writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClaimBatch {
     /// Queued claims.
-    pub waiting: Vec<WaitingClaim>,
+    pub waiting: Vec<QueuedClaim>,
     /// Claims forwarded to other routers.
-    pub away: Vec<AwayClaim>,
+    pub away: Vec<ForwardedClaim>,
     /// When the queued claims are due to be written; earlier if a batch is full.
     pub due: Millis,
     /// Lease for new claims.
@@ -63,7 +63,7 @@
     match claim_writers::writer(state, &write.key) {
         Some(writer) => {
             let until = now + FORWARD_TIMEOUT_MS;
-            state.claims.away.push(AwayClaim {
+            state.claims.away.push(ForwardedClaim {
                 write: write.clone(),
                 until,
             });
@@ -91,9 +91,9 @@
 /// Queues a claim; `guest` is the router that forwarded it, if any.
 fn enqueue(state: &mut RouterState, now: Millis, write: ClaimWrite, guest: Option<InstanceId>) {
     if state.claims.waiting.is_empty() {
-        state.claims.due = now + state.knobs.claim_ms;
+        state.claims.due = now + state.params.claim_ms;
     }
-    state.claims.waiting.push(WaitingClaim { write, guest });
+    state.claims.waiting.push(QueuedClaim { write, guest });
 }
 
 /// Removes a claim from the forwarded ones; returns whether it was among them.
@@ -107,11 +107,11 @@
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     renew_lease(state, now, out);
     requeue_overdue(state, now);
-    let full = state.claims.waiting.len() >= state.knobs.claim_batch as usize;
+    let full = state.claims.waiting.len() >= state.params.claim_batch as usize;
     let due = !state.claims.waiting.is_empty() && (full || now >= state.claims.due);
     let in_flight = state.calls.values();
     let in_flight = in_flight
-        .filter(|p| matches!(p, Purpose::Claims(_)))
+        .filter(|p| matches!(p, CallPurpose::Claims(_)))
         .count();
     if !due || in_flight >= MAX_BATCHES_IN_FLIGHT {
         return;
@@ -121,7 +121,7 @@
     };
     let writes = take_batch(state);
     let op = batch_swap(&writes, lease);
-    state.call(Purpose::Claims(writes), op, out);
+    state.call(CallPurpose::Claims(writes), op, out);
 }
 
 /// Queues forwarded claims for which no reply has come in time.
@@ -129,16 +129,16 @@
     let away = std::mem::take(&mut state.claims.away);
     let (late, rest) = away.into_iter().partition(|a| now >= a.until);
     state.claims.away = rest;
-    let late: Vec<AwayClaim> = late;
+    let late: Vec<ForwardedClaim> = late;
     for claim in late {
         enqueue(state, now, claim.write, None);
     }
 }
 
 /// Takes the claims of the next batch from the queue; a key may occur in it only once.
-fn take_batch(state: &mut RouterState) -> Vec<WaitingClaim> {
-    let limit = state.knobs.claim_batch as usize;
-    let mut taken: Vec<WaitingClaim> = Vec::new();
+fn take_batch(state: &mut RouterState) -> Vec<QueuedClaim> {
+    let limit = state.params.claim_batch as usize;
+    let mut taken: Vec<QueuedClaim> = Vec::new();
     let mut left = Vec::new();
     for claim in std::mem::take(&mut state.claims.waiting) {
         let duplicate = taken.iter().any(|t| t.write.key == claim.write.key);
@@ -153,18 +153,18 @@
 }
 
 /// The call that writes a batch: all of its claims or none; then it reads what stands.
-fn batch_swap(claims: &[WaitingClaim], lease: i64) -> StoreCall {
+fn batch_swap(claims: &[QueuedClaim], lease: i64) -> StoreCall {
     let writes = claims.iter().map(|c| &c.write);
-    let checks = writes.clone().map(|w| Check {
+    let checks = writes.clone().map(|w| RevisionCheck {
         key: Keys::claim(&w.key),
         revision: w.revision,
     });
-    let puts = writes.clone().map(|w| Put {
+    let puts = writes.clone().map(|w| KeyWrite {
         key: Keys::claim(&w.key),
         value: serde_json::to_string(&w.record).unwrap_or_default(),
         lease: Some(lease),
     });
-    StoreCall::Swap {
+    StoreCall::Transaction {
         checks: checks.collect(),
         puts: puts.collect(),
         deletes: Vec::new(),
@@ -174,9 +174,9 @@
 
 /// Requests a new lease once the present one is an eighth of `claim_keep_ms` old.
 fn renew_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let keep = state.knobs.claim_keep_ms;
+    let keep = state.params.claim_keep_ms;
     let fresh = state.claims.lease.is_some() && now < state.claims.leased_at + keep / 8;
-    if fresh || state.calling(|p| matches!(p, Purpose::ClaimLease(_))) {
+    if fresh || state.calling(|p| matches!(p, CallPurpose::ClaimLease(_))) {
         return;
     }
     // A quarter longer than `claim_keep_ms`, so that claims written last under this lease are kept
@@ -185,5 +185,5 @@
     let op = StoreCall::Grant {
         ttl_s: ttl_s.max(1),
     };
-    state.call(Purpose::ClaimLease(now), op, out);
+    state.call(CallPurpose::ClaimLease(now), op, out);
 }
--- a/src/logic/router/recalling.rs
+++ b/src/logic/router/claim_query.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{agents, claim_batch, finish, sending, Problem, RouterState, Stage};
+use super::{agents, attempts, claim_batch, finish, Problem, RouterState, Stage};
 use crate::logic::{Effect, LogCode, LogEvent, Peer};
 use crate::message::{Message, Once, Recall, RunId};
 use crate::types::{InstanceId, Millis, RequestId};
@@ -22,7 +22,7 @@
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    request.stage = Stage::Recalling {
+    request.stage = Stage::Querying {
         agent: agent.clone(),
         addr,
         ask_at: now,
@@ -51,7 +51,7 @@
     let due: Vec<_> = state
         .requests
         .values()
-        .filter(|r| matches!(r.stage, Stage::Recalling { ask_at, .. } if now >= ask_at))
+        .filter(|r| matches!(r.stage, Stage::Querying { ask_at, .. } if now >= ask_at))
         .map(|r| r.id)
         .collect();
     for id in due {
@@ -69,7 +69,7 @@
     let due: Vec<_> = state
         .requests
         .values()
-        .filter(|r| matches!(&r.stage, Stage::Recalling { agent, .. } if agent == &peer.id))
+        .filter(|r| matches!(&r.stage, Stage::Querying { agent, .. } if agent == &peer.id))
         .map(|r| r.id)
         .collect();
     for id in due {
@@ -83,12 +83,12 @@
 /// or if too many attempts and queries were made.
 fn send_query(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
     let keep_ms = claim_batch::retention_ms(state);
-    let limit = state.knobs.claim_tries;
-    let hint = state.knobs.hint_ms;
+    let limit = state.params.claim_tries;
+    let hint = state.params.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    let Stage::Recalling {
+    let Stage::Querying {
         agent, ask_at, bar, ..
     } = &mut request.stage
     else {
@@ -97,13 +97,13 @@
     *ask_at = now + QUERY_INTERVAL_MS;
     let bar = *bar;
     let agent = agent.clone();
-    let Some(once) = request.once else {
+    let Some(claim) = request.claim else {
         return;
     };
     let Some(up) = state.agents.get(&agent).and_then(|a| a.up) else {
         return;
     };
-    if state.rules.incarnation_check && up != once.incarnation {
+    if state.rules.incarnation_check && up != claim.incarnation {
         let detail = "its agent has restarted; the request may have run and is not run again";
         return finish::end_with_problem(state, now, id, Problem::unknown(409, detail), out);
     }
@@ -118,11 +118,11 @@
         message: Message::Query {
             run: request.run(),
             once: Once {
-                key: once.key,
-                attempt: once.attempt,
+                key: claim.key,
+                attempt: claim.attempt,
                 keep_ms,
             },
-            incarnation: once.incarnation,
+            incarnation: claim.incarnation,
             bar,
         },
     });
@@ -140,7 +140,7 @@
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    let Stage::Recalling { agent, .. } = request.stage.clone() else {
+    let Stage::Querying { agent, .. } = request.stage.clone() else {
         return;
     };
     if request.run() != run {
@@ -148,18 +148,18 @@
     }
     match recall {
         Recall::NotSeen => {
-            if let Stage::Recalling { ask_at, bar, .. } = &mut request.stage {
+            if let Stage::Querying { ask_at, bar, .. } = &mut request.stage {
                 // The router that wrote the claim may still be about to send the attempt: it gets
                 // `recall_ms` before the next query bars it.
-                *ask_at = now + state.knobs.recall_ms;
+                *ask_at = now + state.params.recall_ms;
                 *bar = true;
             }
         }
         Recall::NotRun => {
             let event = LogEvent::new(LogCode::ClaimRebound).with("request", id);
             out.push(Effect::Log(event));
-            request.stage = Stage::Parked(now);
-            sending::dispatch(state, now, id, out);
+            request.stage = Stage::Delayed(now);
+            attempts::dispatch(state, now, id, out);
         }
         Recall::Running { pieces, text } => {
             request.stage = Stage::Sent { agent, group: None };
@@ -197,6 +197,6 @@
     };
     if pieces > request.pieces {
         let more = pieces - request.pieces;
-        sending::deliver(request, now, more, rest.to_string(), out);
+        attempts::deliver(request, now, more, rest.to_string(), out);
     }
 }
--- a/src/logic/router/claim_writers.rs
+++ b/src/logic/router/claim_writers.rs
@@ -17,14 +17,14 @@
     }
     let chosen = &writers[(hash(key) % writers.len() as u64) as usize];
     let reached = state.peers.get(chosen).is_some_and(|p| p.up);
-    (*chosen != state.me && reached).then(|| chosen.clone())
+    (*chosen != state.own_id && reached).then(|| chosen.clone())
 }
 
 /// Routers that write claims; empty if there are so few that each one writes its own.
 pub(super) fn writers(state: &RouterState) -> Vec<InstanceId> {
     let listed = state.peers.iter().filter(|(_, p)| p.addr.is_some());
-    let mut routers: Vec<_> = listed.map(|(id, _)| id).chain([&state.me]).collect();
-    let count = state.knobs.claim_writers as usize;
+    let mut routers: Vec<_> = listed.map(|(id, _)| id).chain([&state.own_id]).collect();
+    let count = state.params.claim_writers as usize;
     if routers.len() <= count {
         return Vec::new();
     }
--- a/src/logic/router/claiming.rs
+++ b/src/logic/router/claims.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::{claim_batch, finish, recalling, sending, Keys, Problem, RouterState, Stage};
-use super::{StoreReply, StoreResult, WaitingClaim};
+use super::{attempts, claim_batch, claim_query, finish, Keys, Problem, RouterState, Stage};
+use super::{QueuedClaim, StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::message::{ClaimRecord, ClaimVerdict, ClaimWrite, Message};
 use crate::types::{GroupId, InstanceId, Millis, RequestId};
@@ -18,7 +18,7 @@
     out: &mut Vec<Effect>,
 ) {
     if !state.store_up {
-        let hint = state.knobs.hint_ms;
+        let hint = state.params.hint_ms;
         let detail = "the key-value service is down, so the request can't be claimed";
         return finish::give_up(
             state,
@@ -31,12 +31,12 @@
     let view = state.agents.get(&agent);
     let reached = view.and_then(|v| v.up.map(|incarnation| (v.addr, incarnation)));
     let Some((addr, incarnation)) = reached else {
-        return sending::park(state, now, id, out);
+        return attempts::park(state, now, id, out);
     };
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    let Some(once) = &mut request.once else {
+    let Some(claim) = &mut request.claim else {
         return;
     };
     request.stage = Stage::Claiming {
@@ -44,17 +44,17 @@
         group,
     };
     // The claim may exist from here on, even if the reply to the write is lost.
-    once.mine = true;
+    claim.is_own = true;
     let write = ClaimWrite {
         request: id,
-        key: once.key,
-        revision: once.revision,
+        key: claim.key,
+        revision: claim.revision,
         record: ClaimRecord {
-            attempt: once.attempt + 1,
+            attempt: claim.attempt + 1,
             agent,
             addr,
             incarnation,
-            content: once.content,
+            content: claim.content,
             by: id,
             released: false,
         },
@@ -64,24 +64,24 @@
 
 /// Marks the claim as released before the caller is answered `not_run`.
 pub(super) fn release(state: &mut RouterState, now: Millis, id: RequestId, out: &mut Vec<Effect>) {
-    let me = state.me.clone();
+    let me = state.own_id.clone();
     let addr = state.addr;
     let Some(request) = state.requests.get(&id) else {
         return;
     };
-    let Some(once) = &request.once else {
+    let Some(claim) = &request.claim else {
         return;
     };
     let write = ClaimWrite {
         request: id,
-        key: once.key,
-        revision: once.revision,
+        key: claim.key,
+        revision: claim.revision,
         record: ClaimRecord {
-            attempt: once.attempt.max(1),
+            attempt: claim.attempt.max(1),
             agent: me,
             addr,
-            incarnation: once.incarnation,
-            content: once.content,
+            incarnation: claim.incarnation,
+            content: claim.content,
             by: id,
             released: true,
         },
@@ -94,7 +94,7 @@
 pub(super) fn on_batch_written(
     state: &mut RouterState,
     now: Millis,
-    claims: Vec<WaitingClaim>,
+    claims: Vec<QueuedClaim>,
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
@@ -133,12 +133,12 @@
 /// What the result of a batch write says about one claim.
 fn verdict_of(write: &ClaimWrite, result: &StoreResult) -> ClaimVerdict {
     match result {
-        Ok(StoreReply::Swapped {
+        Ok(StoreReply::Transaction {
             done: true,
             revision,
             ..
         }) => ClaimVerdict::Taken(*revision),
-        Ok(StoreReply::Swapped { entries, .. }) => {
+        Ok(StoreReply::Transaction { entries, .. }) => {
             let key = Keys::claim(&write.key);
             let entry = entries.iter().find(|e| e.key == key);
             ClaimVerdict::Stands {
@@ -191,7 +191,7 @@
     let Some(request) = state.requests.get(&write.request) else {
         return false;
     };
-    let attempt = request.once.as_ref().map_or(0, |o| o.attempt);
+    let attempt = request.claim.as_ref().map_or(0, |o| o.attempt);
     match &request.stage {
         Stage::Claiming { agent, .. } => {
             let same = agent == &write.record.agent && attempt + 1 == write.record.attempt;
@@ -213,12 +213,12 @@
     let Some(request) = state.requests.get_mut(&write.request) else {
         return;
     };
-    let Some(once) = &mut request.once else {
+    let Some(claim) = &mut request.claim else {
         return;
     };
-    once.attempt = write.record.attempt;
-    once.incarnation = write.record.incarnation;
-    once.revision = revision;
+    claim.attempt = write.record.attempt;
+    claim.incarnation = write.record.incarnation;
+    claim.revision = revision;
     let event = LogEvent::new(LogCode::ClaimTaken)
         .with("request", write.request)
         .with("claim", write.key)
@@ -247,10 +247,10 @@
 ) {
     let up = state.agents.get(agent).and_then(|a| a.up);
     if up == Some(write.record.incarnation) {
-        sending::send(state, now, write.request, agent, group, out);
+        attempts::send(state, now, write.request, agent, group, out);
     } else {
         // Nothing was sent under this attempt, so the claim may be bound to another agent.
-        sending::park(state, now, write.request, out);
+        attempts::park(state, now, write.request, out);
     }
 }
 
@@ -272,29 +272,29 @@
     let Some(request) = state.requests.get_mut(&write.request) else {
         return;
     };
-    let Some(once) = &mut request.once else {
+    let Some(claim) = &mut request.claim else {
         return;
     };
-    once.mine = false;
-    if record.content != once.content {
+    claim.is_own = false;
+    if record.content != claim.content {
         let detail = "this Idempotency-Key was used for another request";
         let problem = Problem::not_run(422, detail);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
     // This request was already in flight when the claim was released: the same caller may have
     // been answered `not_run` for it by another router, so it must not run here either.
-    let seen_before = once.revision != 0;
-    once.attempt = record.attempt;
-    once.incarnation = record.incarnation;
-    once.revision = revision;
+    let seen_before = claim.revision != 0;
+    claim.attempt = record.attempt;
+    claim.incarnation = record.incarnation;
+    claim.revision = revision;
     if record.released && seen_before {
         let detail = "a request with the same Idempotency-Key was given up";
-        let problem = Problem::not_run(503, detail).retry_in(state.knobs.hint_ms);
+        let problem = Problem::not_run(503, detail).retry_in(state.params.hint_ms);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
     if record.released {
-        request.stage = Stage::Parked(now);
-        return sending::dispatch(state, now, write.request, out);
+        request.stage = Stage::Delayed(now);
+        return attempts::dispatch(state, now, write.request, out);
     }
-    recalling::begin(state, now, write.request, &record.agent, record.addr, out);
+    claim_query::begin(state, now, write.request, &record.agent, record.addr, out);
 }
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -1,6 +1,6 @@
 //! Ending a request: the caller gets exactly one final part.
 
-use super::{claiming, AnswerPart, Metric, Outcome, Problem, RouterState, Stage};
+use super::{claims, AnswerPart, Metric, Outcome, Problem, RouterState, Stage};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Millis, RequestId};
 
@@ -59,10 +59,10 @@
             ..problem
         };
     }
-    let claimed = request.once.as_ref().is_some_and(|o| o.mine);
+    let claimed = request.claim.as_ref().is_some_and(|o| o.is_own);
     if claimed && problem.outcome == Outcome::NotRun {
         request.stage = Stage::Releasing(Box::new(problem));
-        claiming::release(state, now, id, out);
+        claims::release(state, now, id, out);
         return;
     }
     end_with_problem(state, now, id, problem, out);
@@ -108,7 +108,7 @@
             AnswerPart::Problem(p) if p.outcome == Outcome::Unknown => (Metric::Unknown, 1),
             _ => (Metric::Total, now.saturating_sub(since)),
         };
-        out.push(Effect::Measure {
+        out.push(Effect::RecordMetric {
             metric,
             account,
             class,
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -3,7 +3,7 @@
 
 use serde::de::DeserializeOwned;
 
-use super::{agents, head, Keys, Purpose, RouterState, StoreCall, StoreChange, StoreEntry};
+use super::{agents, head, CallPurpose, Keys, RouterState, StoreCall, StoreChange, StoreEntry};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Approval, Bundle, DomainRecord, GroupId, GroupRecord, Head, Millis};
 
@@ -43,14 +43,14 @@
 /// Starts to read everything again, unless such a read is in flight.
 pub(super) fn start_read(state: &mut RouterState, out: &mut Vec<Effect>) {
     state.fleet.read = false;
-    if state.calling(|p| *p == Purpose::ReadFleet) {
+    if state.calling(|p| *p == CallPurpose::ReadFleet) {
         return;
     }
     let op = StoreCall::Read {
         key: Keys::FLEET.to_string(),
         prefix: true,
     };
-    state.call(Purpose::ReadFleet, op, out);
+    state.call(CallPurpose::ReadFleet, op, out);
 }
 
 /// Applies a complete read and starts the watch from the revision after it.
--- a/src/logic/router/head.rs
+++ b/src/logic/router/head.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use super::{agents, fleet, Keys, Purpose, RouterState, StoreCall, StoreEntry};
+use super::{agents, fleet, CallPurpose, Keys, RouterState, StoreCall, StoreEntry};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Bundle, Head, Millis};
 
@@ -29,7 +29,7 @@
     if !state.rules.head_proof {
         return true;
     }
-    let limit = state.knobs.proof_ms;
+    let limit = state.params.proof_ms;
     state.head.proven_at.is_some_and(|at| now < at + limit)
 }
 
@@ -45,15 +45,15 @@
     if now < state.head.prove_at {
         return;
     }
-    state.head.prove_at = now + state.knobs.prove_ms;
-    if state.calling(|p| matches!(p, Purpose::ProveHead(_))) {
+    state.head.prove_at = now + state.params.prove_ms;
+    if state.calling(|p| matches!(p, CallPurpose::ProveHead(_))) {
         return;
     }
     let op = StoreCall::Read {
         key: Keys::HEAD.to_string(),
         prefix: false,
     };
-    state.call(Purpose::ProveHead(now), op, out);
+    state.call(CallPurpose::ProveHead(now), op, out);
 }
 
 /// Logs when the proof has become too old or recent enough again.
--- a/src/logic/router/put.rs
+++ b/src/logic/router/key_write.rs
@@ -1,6 +1,6 @@
 /// One value to write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Put {
+pub struct KeyWrite {
     /// The key.
     pub key: String,
     /// The value.
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -1,6 +1,9 @@
 //! Operators' calls: submitting, approving and rolling bundles, and reading the status.
 
-use super::{fleet, roll, status, Check, Keys, OperatorCall, OperatorReply, Problem, Purpose, Put};
+use super::{
+    fleet, roll, status, CallPurpose, KeyWrite, Keys, OperatorCall, OperatorReply, Problem,
+    RevisionCheck,
+};
 use super::{RouterState, StoreCall, StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Approval, Bundle, BundleBody, BundleFault, Millis};
@@ -70,17 +73,17 @@
         body,
     };
     let op = create_key(Keys::bundle(number), &bundle);
-    state.call(Purpose::Submit { job, number }, op, out);
+    state.call(CallPurpose::Submit { job, number }, op, out);
 }
 
 /// A write that succeeds only if the key doesn't exist yet.
 fn create_key<T: serde::Serialize>(key: String, value: &T) -> StoreCall {
-    StoreCall::Swap {
-        checks: vec![Check {
+    StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: key.clone(),
             revision: 0,
         }],
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key: key.clone(),
             value: serde_json::to_string(value).unwrap_or_default(),
             lease: None,
@@ -99,7 +102,7 @@
     out: &mut Vec<Effect>,
 ) {
     match result {
-        Ok(StoreReply::Swapped { done: true, .. }) => {
+        Ok(StoreReply::Transaction { done: true, .. }) => {
             let event = LogEvent::new(LogCode::BundleSubmitted).with("bundle", number);
             out.push(Effect::Log(event));
             out.push(Effect::Reply {
@@ -140,7 +143,7 @@
         by: by.clone(),
     };
     let op = create_key(Keys::approval(number), &approval);
-    state.call(Purpose::Approve { job, number, by }, op, out);
+    state.call(CallPurpose::Approve { job, number, by }, op, out);
 }
 
 /// Handles the result of writing an approval. One that exists already counts as success.
@@ -153,7 +156,7 @@
     out: &mut Vec<Effect>,
 ) {
     let stored = match result {
-        Ok(StoreReply::Swapped { done, revision, .. }) => {
+        Ok(StoreReply::Transaction { done, revision, .. }) => {
             let approval = Approval { number, by };
             if done {
                 state.fleet.approvals.insert(number, (approval, revision));
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -26,7 +26,7 @@
     let listed: Vec<_> = state
         .instances
         .values()
-        .filter(|i| i.is_router() && i.id != state.me)
+        .filter(|i| i.is_router() && i.id != state.own_id)
         .map(|i| (i.id.clone(), i.addr))
         .collect();
     let gone: Vec<_> = state
@@ -37,7 +37,7 @@
         .collect();
     for id in gone {
         state.peers.remove(&id);
-        out.push(Effect::Hangup(id));
+        out.push(Effect::CloseSession(id));
     }
     for (id, addr) in listed {
         let peer = state.peers.entry(id).or_insert_with(PeerView::unknown);
@@ -65,11 +65,11 @@
     if now < state.head.ask_at {
         return;
     }
-    state.head.ask_at = now + state.knobs.ask_ms;
+    state.head.ask_at = now + state.params.ask_ms;
     let fresh = state
         .head
         .proven_at
-        .is_some_and(|at| now < at + state.knobs.proof_ms / 2);
+        .is_some_and(|at| now < at + state.params.proof_ms / 2);
     let number = state.number();
     let writers = claim_writers::writers(state);
     for (id, peer) in &mut state.peers {
@@ -81,7 +81,7 @@
         if !asked {
             if peer.dialled {
                 peer.dialled = false;
-                out.push(Effect::Hangup(id.clone()));
+                out.push(Effect::CloseSession(id.clone()));
             }
             continue;
         }
@@ -102,7 +102,7 @@
     };
     if !peer.dialled {
         peer.dialled = true;
-        out.push(Effect::Dial {
+        out.push(Effect::OpenSession {
             to: id.clone(),
             addr,
         });
--- a/src/logic/router/planner/condition.rs
+++ b/src/logic/router/planner/condition.rs
@@ -1,6 +1,6 @@
 /// State of one group as the planner sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Condition {
+pub enum GroupCondition {
     /// Accepts requests.
     Open,
     /// Its leader has reported, but the group accepts no requests: it loads, drains or lacks a
@@ -10,7 +10,7 @@
     /// flight.
     Ended,
     /// Its leader can't be reached from here, but another member still grants its presence to it.
-    Outlived,
+    LeaderUnreachable,
     /// Its leader can't be reached, and no other member is known to grant its presence to it.
-    Lost,
+    Unreachable,
 }
--- a/src/logic/router/planner/survey.rs
+++ b/src/logic/router/planner/fleet_view.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::plan::is_current;
-use super::{Condition, Health, PlanInput, WorldView};
+use super::{GroupCondition, InstanceHealth, ModelCounts, PlanInput};
 use crate::logic::router::RouterState;
 use crate::types::{
     BundleBody, DomainRecord, GroupId, GroupRecord, Instance, InstanceId, Millis, Phase,
@@ -54,17 +54,17 @@
     now: Millis,
     body: &'a BundleBody,
     record: &'a DomainRecord,
-    hall: &'a BTreeMap<Arc<str>, WorldView>,
+    hall: &'a BTreeMap<Arc<str>, ModelCounts>,
 ) -> PlanInput<'a> {
     let instances: Vec<&Instance> = here.get(&record.domain).cloned().unwrap_or_default();
-    let mut health: BTreeMap<InstanceId, Health> = instances
+    let mut health: BTreeMap<InstanceId, InstanceHealth> = instances
         .iter()
         .map(|i| (i.id.clone(), health_of(state, leaving, now, i)))
         .collect();
     for member in record.groups.iter().flat_map(|g| &g.members) {
         health
             .entry(member.instance.clone())
-            .or_insert(Health::Gone);
+            .or_insert(InstanceHealth::Gone);
     }
     let conditions = record
         .groups
@@ -85,8 +85,8 @@
         conditions,
         failing,
         hall,
-        patience_ms: state.knobs.patience_ms,
-        trade: state.knobs.trade,
+        patience_ms: state.params.patience_ms,
+        trade: state.params.trade,
     }
 }
 
@@ -95,13 +95,13 @@
     leaving: &BTreeSet<InstanceId>,
     now: Millis,
     instance: &Instance,
-) -> Health {
+) -> InstanceHealth {
     if leaving.contains(&instance.id) {
-        return Health::Leaving;
+        return InstanceHealth::Leaving;
     }
     match state.planner.silent_since.get(&instance.id) {
-        Some(since) => Health::Silent(now.saturating_sub(*since)),
-        None => Health::Live,
+        Some(since) => InstanceHealth::Silent(now.saturating_sub(*since)),
+        None => InstanceHealth::Live,
     }
 }
 
@@ -128,21 +128,21 @@
     state: &RouterState,
     leaving: &BTreeSet<InstanceId>,
     group: &GroupRecord,
-) -> Condition {
+) -> GroupCondition {
     let leader = state.agents.get(&group.leader().instance);
     let Some(report) = leader.and_then(|l| l.report.as_ref()) else {
         return if has_granting_member(state, group) {
-            Condition::Outlived
+            GroupCondition::LeaderUnreachable
         } else {
-            Condition::Lost
+            GroupCondition::Unreachable
         };
     };
     match &report.lead {
-        Some(lead) if lead.group == group.id && lead.open => Condition::Open,
-        Some(lead) if lead.group == group.id => Condition::Closed,
+        Some(lead) if lead.group == group.id && lead.open => GroupCondition::Open,
+        Some(lead) if lead.group == group.id => GroupCondition::Closed,
         // The leader has ended this epoch, or hasn't been assigned it yet.
-        _ if has_ended(state, leaving, group) => Condition::Ended,
-        _ => Condition::Closed,
+        _ if has_ended(state, leaving, group) => GroupCondition::Ended,
+        _ => GroupCondition::Closed,
     }
 }
 
@@ -179,8 +179,8 @@
     state: &RouterState,
     leaving: &BTreeSet<InstanceId>,
     body: &BundleBody,
-) -> BTreeMap<Arc<str>, WorldView> {
-    let mut counts: BTreeMap<Arc<str>, WorldView> = BTreeMap::new();
+) -> BTreeMap<Arc<str>, ModelCounts> {
+    let mut counts: BTreeMap<Arc<str>, ModelCounts> = BTreeMap::new();
     let records = state.fleet.domains.values().map(|(r, _)| r);
     for group in records
         .filter(|r| r.hall == state.hall)
@@ -190,7 +190,7 @@
             continue;
         };
         let count = counts.entry(group.model.clone()).or_default();
-        let open = u32::from(condition_of(state, leaving, group) == Condition::Open);
+        let open = u32::from(condition_of(state, leaving, group) == GroupCondition::Open);
         if group.phase == Phase::Draining {
             count.draining += 1;
         } else if is_current(group, spec) {
--- a/src/logic/router/planner/health.rs
+++ b/src/logic/router/planner/health.rs
@@ -2,7 +2,7 @@
 
 /// State of one instance as the planner sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Health {
+pub enum InstanceHealth {
     /// Listed as live, and neither this router nor a group's leader finds it silent.
     Live,
     /// Listed as live, but its agent has had no session with this router, or no lease with its
--- a/src/logic/router/planner/mod.rs
+++ b/src/logic/router/planner/mod.rs
@@ -4,22 +4,22 @@
 //! renews the lease, gathers the input and writes the records.
 
 mod condition;
-mod duty;
+mod fleet_view;
 mod form;
 mod health;
+mod model_counts;
 mod plan;
 mod plan_input;
 mod planner_state;
+mod planning_pass;
 mod repair;
 mod retire;
-mod survey;
-mod world_view;
 
-pub(super) use duty::{add_planner_sessions, on_store_reply, on_tick};
+pub(super) use planning_pass::{add_planner_sessions, on_store_reply, on_tick};
 
-pub use condition::Condition;
-pub use health::Health;
+pub use condition::GroupCondition;
+pub use health::InstanceHealth;
+pub use model_counts::ModelCounts;
 pub use plan::{plan, Plan};
 pub use plan_input::PlanInput;
 pub use planner_state::PlannerState;
-pub use world_view::WorldView;
--- a/src/logic/router/planner/world_view.rs
+++ b/src/logic/router/planner/model_counts.rs
@@ -1,6 +1,6 @@
 /// Counts of one model's groups in a data hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct WorldView {
+pub struct ModelCounts {
     /// Groups that match the bundle's specification of the model, aren't draining and lose no
     /// member.
     pub current: u32,
--- a/src/logic/router/planner/duty.rs
+++ b/src/logic/router/planner/planning_pass.rs
@@ -4,12 +4,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::survey::{
+use super::fleet_view::{
     build_input, count_groups, hall_domains, instances_by_domain, leaving_instances,
 };
-use super::{plan, Plan, WorldView};
+use super::{plan, ModelCounts, Plan};
 use crate::logic::router::{
-    agents, fleet, Check, Keys, Purpose, Put, RouterState, StoreCall, StoreReply, StoreResult,
+    agents, fleet, CallPurpose, KeyWrite, Keys, RevisionCheck, RouterState, StoreCall, StoreReply,
+    StoreResult,
 };
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{DomainRecord, InstanceId, Millis};
@@ -28,7 +29,7 @@
     if now < state.planner.plan_at {
         return;
     }
-    state.planner.plan_at = now + state.knobs.plan_ms;
+    state.planner.plan_at = now + state.params.plan_ms;
     update_silence(state, now);
     if state.planner.holds(now) && state.fleet.read && state.list_known {
         plan_hall(state, now, out);
@@ -56,21 +57,25 @@
     if now < state.planner.lease_at {
         return;
     }
-    state.planner.lease_at = now + state.knobs.planner_ms / 3;
+    state.planner.lease_at = now + state.params.planner_ms / 3;
     let busy = state.calling(|p| {
         matches!(
             p,
-            Purpose::ReadPlanner
-                | Purpose::PlannerLease(_)
-                | Purpose::TakePlanner { .. }
-                | Purpose::RenewPlanner(_)
+            CallPurpose::ReadPlanner
+                | CallPurpose::PlannerLease(_)
+                | CallPurpose::TakePlanner { .. }
+                | CallPurpose::RenewPlanner(_)
         )
     });
     if busy {
         return;
     }
     if let (true, Some(lease)) = (state.planner.holds(now), state.planner.lease) {
-        state.call(Purpose::RenewPlanner(now), StoreCall::Renew { lease }, out);
+        state.call(
+            CallPurpose::RenewPlanner(now),
+            StoreCall::Renew { lease },
+            out,
+        );
         return;
     }
     state.planner.lease = None;
@@ -81,38 +86,47 @@
         key: Keys::planner(&state.hall),
         prefix: false,
     };
-    state.call(Purpose::ReadPlanner, op, out);
+    state.call(CallPurpose::ReadPlanner, op, out);
 }
 
 /// Handles the reply to a store call of the planner.
 pub(in crate::logic::router) fn on_store_reply(
     state: &mut RouterState,
     now: Millis,
-    purpose: Purpose,
+    purpose: CallPurpose,
     result: StoreResult,
     out: &mut Vec<Effect>,
 ) {
     match (purpose, result) {
-        (Purpose::ReadPlanner, Ok(StoreReply::Entries { entries, .. })) if entries.is_empty() => {
-            let ttl_s = (state.knobs.planner_ms / 1_000).max(1);
-            state.call(Purpose::PlannerLease(now), StoreCall::Grant { ttl_s }, out);
+        (CallPurpose::ReadPlanner, Ok(StoreReply::Entries { entries, .. }))
+            if entries.is_empty() =>
+        {
+            let ttl_s = (state.params.planner_ms / 1_000).max(1);
+            state.call(
+                CallPurpose::PlannerLease(now),
+                StoreCall::Grant { ttl_s },
+                out,
+            );
         }
-        (Purpose::PlannerLease(asked_at), Ok(StoreReply::Lease { lease, .. })) => {
+        (CallPurpose::PlannerLease(asked_at), Ok(StoreReply::Lease { lease, .. })) => {
             acquire_lease(state, lease, asked_at, out);
         }
-        (Purpose::TakePlanner { lease, asked_at }, Ok(StoreReply::Swapped { done: true, .. })) => {
+        (
+            CallPurpose::TakePlanner { lease, asked_at },
+            Ok(StoreReply::Transaction { done: true, .. }),
+        ) => {
             state.planner.lease = Some(lease);
-            state.planner.held_until = asked_at + state.knobs.planner_ms;
+            state.planner.held_until = asked_at + state.params.planner_ms;
             state.planner.plan_at = now;
         }
-        (Purpose::RenewPlanner(asked_at), Ok(StoreReply::Lease { ttl_s, .. })) => {
+        (CallPurpose::RenewPlanner(asked_at), Ok(StoreReply::Lease { ttl_s, .. })) => {
             if ttl_s == 0 {
                 state.planner.held_until = now;
             } else {
-                state.planner.held_until = asked_at + state.knobs.planner_ms;
+                state.planner.held_until = asked_at + state.params.planner_ms;
             }
         }
-        (Purpose::WriteDomain(record), result) => {
+        (CallPurpose::WriteDomain(record), result) => {
             on_record_written(state, now, *record, result, out)
         }
         _ => {}
@@ -121,20 +135,20 @@
 
 fn acquire_lease(state: &mut RouterState, lease: i64, asked_at: Millis, out: &mut Vec<Effect>) {
     let key = Keys::planner(&state.hall);
-    let op = StoreCall::Swap {
-        checks: vec![Check {
+    let op = StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: key.clone(),
             revision: 0,
         }],
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key,
-            value: state.me.to_string(),
+            value: state.own_id.to_string(),
             lease: Some(lease),
         }],
         deletes: Vec::new(),
         reads: Vec::new(),
     };
-    state.call(Purpose::TakePlanner { lease, asked_at }, op, out);
+    state.call(CallPurpose::TakePlanner { lease, asked_at }, op, out);
 }
 
 /// Applies the record that stands after a write, or reads it again where the reply doesn't tell.
@@ -147,12 +161,12 @@
 ) {
     let domain = written.domain.clone();
     match result {
-        Ok(StoreReply::Swapped {
+        Ok(StoreReply::Transaction {
             done: true,
             revision,
             ..
         }) => fleet::on_domain_change(state, now, &domain, Some(written), revision, out),
-        Ok(StoreReply::Swapped { entries, .. }) => {
+        Ok(StoreReply::Transaction { entries, .. }) => {
             let key = Keys::domain(&domain);
             for entry in entries.iter().filter(|e| e.key == key) {
                 let record = serde_json::from_str::<DomainRecord>(&entry.value).ok();
@@ -220,7 +234,8 @@
     let known = state.instances.clone();
     let by_domain = instances_by_domain(&known, &state.hall);
     for (domain, record, revision) in hall_domains(state) {
-        let writing = state.calling(|p| matches!(p, Purpose::WriteDomain(r) if r.domain == domain));
+        let writing =
+            state.calling(|p| matches!(p, CallPurpose::WriteDomain(r) if r.domain == domain));
         if writing || state.planner.write_tokens < 1_000 {
             continue;
         }
@@ -245,7 +260,7 @@
 
 fn refill_tokens(state: &mut RouterState, now: Millis) {
     let elapsed = now.saturating_sub(state.planner.refilled_at);
-    let added = elapsed * u64::from(state.knobs.plan_rate) / 60;
+    let added = elapsed * u64::from(state.params.plan_rate) / 60;
     if added == 0 {
         return;
     }
@@ -254,7 +269,11 @@
 }
 
 /// Logs once when a rollout is halted because groups of the new version fail to load.
-fn log_halts(state: &mut RouterState, hall: &BTreeMap<Arc<str>, WorldView>, out: &mut Vec<Effect>) {
+fn log_halts(
+    state: &mut RouterState,
+    hall: &BTreeMap<Arc<str>, ModelCounts>,
+    out: &mut Vec<Effect>,
+) {
     for (model, count) in hall {
         let halted = count.failing > 0 && count.old > 0;
         let known = state.planner.halted_rolls.contains_key(&**model);
@@ -274,12 +293,12 @@
 fn write_record(state: &mut RouterState, plan: Plan, revision: i64, out: &mut Vec<Effect>) {
     let key = Keys::domain(&plan.record.domain);
     out.extend(plan.log_events.into_iter().map(Effect::Log));
-    let op = StoreCall::Swap {
-        checks: vec![Check {
+    let op = StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: key.clone(),
             revision,
         }],
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key: key.clone(),
             value: serde_json::to_string(&plan.record).unwrap_or_default(),
             lease: None,
@@ -287,5 +306,5 @@
         deletes: Vec::new(),
         reads: vec![key],
     };
-    state.call(Purpose::WriteDomain(Box::new(plan.record)), op, out);
+    state.call(CallPurpose::WriteDomain(Box::new(plan.record)), op, out);
 }
--- a/src/logic/router/planner/repair.rs
+++ b/src/logic/router/planner/repair.rs
@@ -1,7 +1,7 @@
 //! Replaces lost members by spares, or by the members of a group that is dissolved for them.
 
 use super::plan::wanted_kind;
-use super::{Condition, Health, Plan, PlanInput};
+use super::{GroupCondition, InstanceHealth, Plan, PlanInput};
 use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupId, GroupRecord, InstanceId, Member, Phase};
 
@@ -24,7 +24,7 @@
 fn is_serving(input: &PlanInput<'_>, group: &GroupRecord) -> bool {
     matches!(
         input.condition_of(&group.id),
-        Condition::Open | Condition::Outlived
+        GroupCondition::Open | GroupCondition::LeaderUnreachable
     )
 }
 
@@ -39,14 +39,14 @@
 ///
 /// A silent member is waited for no longer than the group takes to load its weights.
 fn lost_members(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<InstanceId> {
-    let ended = input.condition_of(&group.id) == Condition::Ended;
+    let ended = input.condition_of(&group.id) == GroupCondition::Ended;
     let wait_limit = input.patience_ms.min(group.load_ms.max(1));
     let is_lost = |id: &InstanceId| match input.health_of(id) {
-        Health::Gone => true,
-        Health::Silent(ms) => ms >= wait_limit,
+        InstanceHealth::Gone => true,
+        InstanceHealth::Silent(ms) => ms >= wait_limit,
         // A leaving member keeps its place until its group has drained.
-        Health::Leaving => ended,
-        Health::Live => false,
+        InstanceHealth::Leaving => ended,
+        InstanceHealth::Live => false,
     };
     let members = group.members.iter().map(|m| &m.instance);
     members.filter(|id| is_lost(id)).cloned().collect()
@@ -110,7 +110,7 @@
 
 /// Starts a group again, under a new epoch, that its leader has ended and that needs no new member.
 fn restart_ended(input: &PlanInput<'_>, plan: &mut Plan, group: &GroupRecord) {
-    if input.condition_of(&group.id) != Condition::Ended {
+    if input.condition_of(&group.id) != GroupCondition::Ended {
         return;
     }
     let epoch = plan.record.next_epoch();
@@ -124,7 +124,7 @@
 }
 
 fn live_members(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<Member> {
-    let live = |m: &&Member| input.health_of(&m.instance) == Health::Live;
+    let live = |m: &&Member| input.health_of(&m.instance) == InstanceHealth::Live;
     group.members.iter().filter(live).cloned().collect()
 }
 
@@ -145,7 +145,7 @@
         let fits = other.id != broken.id
             && other.kind == broken.kind
             && live_members(input, other).len() >= needed
-            && input.condition_of(&other.id) != Condition::Outlived;
+            && input.condition_of(&other.id) != GroupCondition::LeaderUnreachable;
         if !fits {
             continue;
         }
@@ -191,7 +191,7 @@
     let event = LogEvent::new(LogCode::GroupWaits)
         .with("group", &group.id)
         .with("missing", missing.join(","));
-    if input.condition_of(&group.id) == Condition::Ended {
+    if input.condition_of(&group.id) == GroupCondition::Ended {
         plan.record.groups.retain(|g| g.id != group.id);
         plan.record.next_epoch();
         plan.log_events
--- a/src/logic/router/planner/retire.rs
+++ b/src/logic/router/planner/retire.rs
@@ -1,7 +1,7 @@
 //! Removes ended groups from the record, and drains surplus and outdated groups one at a time.
 
 use super::plan::is_current;
-use super::{Condition, Plan, PlanInput};
+use super::{GroupCondition, Plan, PlanInput};
 use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupRecord, Phase};
 
@@ -15,7 +15,7 @@
         .filter(|g| {
             matches!(
                 input.condition_of(&g.id),
-                Condition::Ended | Condition::Lost
+                GroupCondition::Ended | GroupCondition::Unreachable
             )
         })
         .map(|g| g.id.clone())
@@ -37,7 +37,9 @@
         .groups
         .iter()
         .filter(|g| g.phase == Phase::Serving)
-        .find(|g| input.condition_of(&g.id) != Condition::Outlived && is_unwanted(input, g))
+        .find(|g| {
+            input.condition_of(&g.id) != GroupCondition::LeaderUnreachable && is_unwanted(input, g)
+        })
         .map(|g| g.id.clone());
     let Some(id) = surplus else {
         return;
@@ -61,7 +63,7 @@
     // itself. It begins once new groups have replaced it, or while no group of the model drains,
     // loads or fails to load, so that the next new group can be formed from its instances.
     let open = hall.current_open + hall.old_open;
-    let keeps_floor = input.condition_of(&group.id) != Condition::Open || open > spec.floor;
+    let keeps_floor = input.condition_of(&group.id) != GroupCondition::Open || open > spec.floor;
     let loading = hall.current > hall.current_open;
     let replaced = hall.current_open >= spec.per_hall;
     let may_start = hall.draining == 0 && !loading && hall.failing == 0;
--- a/src/logic/router/request.rs
+++ b/src/logic/router/request.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// Dispatched again at this time.
-    Parked(Millis),
+    Delayed(Millis),
     /// Its claim is being written, bound to this agent.
     Claiming {
         /// Agent of the chosen group.
@@ -27,7 +27,7 @@
     /// Its claim is being released; this answer follows.
     Releasing(Box<Problem>),
     /// The agent named in its claim is queried about what became of it.
-    Recalling {
+    Querying {
         /// That agent.
         agent: InstanceId,
         /// Where it listens.
@@ -41,7 +41,7 @@
 
 /// Claim of a request that may not be repeated, as the router knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct OnceClaim {
+pub struct ClaimState {
     /// Its key.
     pub key: ClaimKey,
     /// Hash of the request's content.
@@ -53,7 +53,7 @@
     /// Revision of the claim; 0 before it exists.
     pub revision: i64,
     /// Whether this request wrote the claim that stands, or may have.
-    pub mine: bool,
+    pub is_own: bool,
 }
 
 /// One request in flight at a router.
@@ -82,7 +82,7 @@
     /// When its deadline passes.
     pub deadline: Millis,
     /// State of its claim; present if it may not be repeated.
-    pub once: Option<OnceClaim>,
+    pub claim: Option<ClaimState>,
     /// Its stage.
     pub stage: Stage,
     /// Number of the last attempt; queries to agents count too.
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -1,6 +1,9 @@
 //! Putting a bundle in force: a single write, whose result is known before other routers are told.
 
-use super::{head, Check, Keys, OperatorReply, Problem, Purpose, Put, RouterState, StoreCall};
+use super::{
+    head, CallPurpose, KeyWrite, Keys, OperatorReply, Problem, RevisionCheck, RouterState,
+    StoreCall,
+};
 use super::{StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{Head, Millis};
@@ -99,7 +102,7 @@
 
 /// Writes the head, again and again until the result is known.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let in_flight = state.calling(|p| *p == Purpose::Roll);
+    let in_flight = state.calling(|p| *p == CallPurpose::Roll);
     let Some(roll) = &mut state.roll else {
         return;
     };
@@ -117,12 +120,12 @@
         return;
     }
     let number = roll.head.number;
-    let op = StoreCall::Swap {
-        checks: vec![Check {
+    let op = StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: Keys::HEAD.to_string(),
             revision: roll.revision,
         }],
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key: Keys::HEAD.to_string(),
             value: serde_json::to_string(&roll.head).unwrap_or_default(),
             lease: None,
@@ -130,7 +133,7 @@
         deletes: old_bundle_keys(number),
         reads: vec![Keys::HEAD.to_string()],
     };
-    state.call(Purpose::Roll, op, out);
+    state.call(CallPurpose::Roll, op, out);
 }
 
 /// Older bundles that are kept when a new one is put in force.
@@ -156,12 +159,12 @@
         return;
     };
     match result {
-        Ok(StoreReply::Swapped {
+        Ok(StoreReply::Transaction {
             done: true,
             revision,
             ..
         }) => on_accepted(state, now, revision, out),
-        Ok(StoreReply::Swapped { entries, .. }) => {
+        Ok(StoreReply::Transaction { entries, .. }) => {
             let entry = entries.into_iter().find(|e| e.key == Keys::HEAD);
             let found = entry.and_then(|e| {
                 let head: Head = serde_json::from_str(&e.value).ok()?;
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -84,12 +84,12 @@
     if candidates.len() > 1 {
         candidates.retain(|c| Some(&c.group) != request.avoid.as_ref());
     }
-    let hint = state.knobs.hint_ms;
+    let hint = state.params.hint_ms;
     if candidates.is_empty() {
         let detail = format!("no group of model {:?} takes work now", request.model);
         return Err(Problem::not_run(503, detail).retry_in(hint));
     }
-    let best = match state.knobs.policy {
+    let best = match state.params.policy {
         RoutePolicy::LeastWait => least_wait(state, request, &candidates),
         RoutePolicy::Random => state.random(candidates.len() as u64) as usize,
         RoutePolicy::RoundRobin => {
@@ -137,7 +137,7 @@
         let near = state.fleet.hall(&lead.group.domain) == Some(&state.hall);
         let ramp = ramp_cost(state, now, view.opened_at, &lead.group);
         let (wait, cost) = expected_cost(state, request.priority, lead);
-        let far = if near { 0 } else { state.knobs.far_ms };
+        let far = if near { 0 } else { state.params.far_ms };
         found.push(Candidate {
             agent: agent.clone(),
             group: lead.group.clone(),
@@ -175,11 +175,11 @@
 /// this router in flight there, a tenth of the remaining ramp time, in milliseconds.
 fn ramp_cost(state: &RouterState, now: Millis, opened_at: Millis, group: &GroupId) -> Millis {
     let age = now.saturating_sub(opened_at);
-    if age >= state.knobs.ramp_ms {
+    if age >= state.params.ramp_ms {
         return 0;
     }
     let own = state.loads.get(group).map_or(0, |l| u64::from(l.own));
-    own * (state.knobs.ramp_ms - age) / 10
+    own * (state.params.ramp_ms - age) / 10
 }
 
 /// Index of the cheapest of a few random candidates.
@@ -200,7 +200,7 @@
     let hinted = prefix_hash(request).and_then(|p| state.prefixes.get(&p));
     let hinted = hinted.and_then(|group| all.iter().position(|c| &c.group == group));
     match hinted {
-        Some(i) if all[i].cost <= all[best].cost + state.knobs.prefix_ms => i,
+        Some(i) if all[i].cost <= all[best].cost + state.params.prefix_ms => i,
         _ => best,
     }
 }
--- a/src/logic/router/router_knobs.rs
+++ b/src/logic/router/router_params.rs
@@ -3,7 +3,7 @@
 
 /// Parameters of a router. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RouterKnobs {
+pub struct RouterParams {
     /// Age at which the proof that the bundle in force is the newest no longer counts.
     pub proof_ms: Millis,
     /// Time between two reads of the head, which prove that the bundle in force is the newest.
@@ -30,7 +30,7 @@
     pub claim_keep_ms: Millis,
     /// Most attempts at one request.
     pub attempts: u32,
-    /// Delay of a parked request.
+    /// Delay before a request is dispatched again that has no leader to go to.
     pub park_ms: Millis,
     /// Time after a deadline in which the agent's refusal may still arrive.
     pub grace_ms: Millis,
@@ -56,7 +56,7 @@
     pub trade: bool,
 }
 
-impl Default for RouterKnobs {
+impl Default for RouterParams {
     fn default() -> Self {
         Self {
             proof_ms: 8_000,
--- a/src/logic/router/router_state.rs
+++ b/src/logic/router/router_state.rs
@@ -4,8 +4,8 @@
 
 use super::head;
 use super::{
-    AgentView, CallId, ClaimBatch, Fleet, GroupLoad, HeadView, PeerView, PendingRoll, PlannerState,
-    Purpose, Request, RetryBudget, RouterKnobs, StoreCall,
+    AgentView, CallId, CallPurpose, ClaimBatch, Fleet, GroupLoad, HeadView, PeerView, PendingRoll,
+    PlannerState, Request, RetryBudget, RouterParams, StoreCall,
 };
 use crate::logic::{Effect, Rules};
 use crate::types::{Bundle, GroupId, Instance, InstanceId, Millis, RequestId};
@@ -16,9 +16,9 @@
     /// Safety rules; all on except in the model check.
     pub rules: Rules,
     /// Parameters.
-    pub knobs: RouterKnobs,
+    pub params: RouterParams,
     /// Id of the router's instance.
-    pub me: InstanceId,
+    pub own_id: InstanceId,
     /// Address at which other processes reach it.
     pub addr: SocketAddr,
     /// The router's data hall.
@@ -34,7 +34,7 @@
     /// Copy of what the key-value service holds about the fleet.
     pub fleet: Fleet,
     /// Calls to the key-value service that haven't been answered.
-    pub calls: BTreeMap<CallId, Purpose>,
+    pub calls: BTreeMap<CallId, CallPurpose>,
     /// Number of the next call.
     pub next_call: CallId,
     /// Whether the last call to the key-value service was answered.
@@ -74,16 +74,16 @@
 impl RouterState {
     /// State of a router that starts now.
     pub fn new(
-        me: InstanceId,
+        own_id: InstanceId,
         addr: SocketAddr,
         hall: &str,
         incarnation: u64,
-        knobs: RouterKnobs,
+        params: RouterParams,
     ) -> Self {
         Self {
             rules: Rules::default(),
-            knobs,
-            me,
+            params,
+            own_id,
             addr,
             hall: Arc::from(hall),
             incarnation,
@@ -146,7 +146,7 @@
     }
 
     /// Calls the key-value service and keeps the purpose of the call.
-    pub(super) fn call(&mut self, purpose: Purpose, op: StoreCall, out: &mut Vec<Effect>) {
+    pub(super) fn call(&mut self, purpose: CallPurpose, op: StoreCall, out: &mut Vec<Effect>) {
         let call = self.next_call;
         self.next_call += 1;
         self.calls.insert(call, purpose);
@@ -154,7 +154,7 @@
     }
 
     /// Whether a call whose purpose matches is in flight.
-    pub(super) fn calling(&self, wanted: impl Fn(&Purpose) -> bool) -> bool {
+    pub(super) fn calling(&self, wanted: impl Fn(&CallPurpose) -> bool) -> bool {
         self.calls.values().any(wanted)
     }
 }
--- a/src/logic/router/status.rs
+++ b/src/logic/router/status.rs
@@ -13,7 +13,7 @@
         .map(|i| i.id.to_string())
         .collect();
     FleetStatus {
-        router: state.me.to_string(),
+        router: state.own_id.to_string(),
         hall: state.hall.to_string(),
         bundle: state.number(),
         proven: head::is_proven(state, now),
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -1,7 +1,7 @@
 use super::{
-    accept, agents, claim_batch, claiming, fleet, head, operator, peers, planner, recalling,
+    admission, agents, claim_batch, claim_query, claims, fleet, head, operator, peers, planner,
 };
-use super::{roll, sending, CallId, ListReply, Purpose, RouterState, StoreReply, StoreResult};
+use super::{attempts, roll, CallId, CallPurpose, ListReply, RouterState, StoreReply, StoreResult};
 use crate::logic::{Effect, Event, LogCode, LogEvent, Peer, PeerRole};
 use crate::message::Message;
 use crate::types::Millis;
@@ -11,21 +11,21 @@
     match event {
         Event::Tick => {}
         Event::Stop => state.stopping = true,
-        Event::Up(peer) => match peer.role {
+        Event::SessionOpened(peer) => match peer.role {
             PeerRole::Router => peers::on_session(state, now, &peer.id, true),
             PeerRole::Agent => agents::on_agent_up(state, now, &peer, out),
         },
-        Event::Down(id) => {
+        Event::SessionClosed(id) => {
             peers::on_session(state, now, &id, false);
             agents::on_agent_down(state, now, &id, out);
         }
         Event::Message { from, message } => on_message(state, now, &from, message, out),
         Event::Store { call, result } => on_store_reply(state, now, call, result, out),
         Event::Watch(changes) => fleet::on_changes(state, now, changes, out),
-        Event::WatchLost => fleet::start_read(state, out),
-        Event::List(list) => on_list(state, now, list, out),
-        Event::Request(call) => accept::on_request(state, now, *call, out),
-        Event::Gone(id) => sending::on_caller_gone(state, id, out),
+        Event::WatchInterrupted => fleet::start_read(state, out),
+        Event::Instances(list) => on_list(state, now, list, out),
+        Event::Request(call) => admission::on_request(state, now, *call, out),
+        Event::CallerGone(id) => attempts::on_caller_gone(state, id, out),
         Event::Operator { job, call } => operator::on_call(state, now, job, call, out),
         Event::Endpoint(_) | Event::Direct(_) => {}
     }
@@ -41,13 +41,13 @@
     peers::on_tick(state, now, out);
     roll::on_tick(state, now, out);
     planner::on_tick(state, now, out);
-    recalling::on_tick(state, now, out);
-    sending::on_tick(state, now, out);
+    claim_query::on_tick(state, now, out);
+    attempts::on_tick(state, now, out);
     agents::on_tick(state, now, out);
     claim_batch::on_tick(state, now, out);
     if now >= state.list_at {
-        state.list_at = now + state.knobs.list_ms;
-        out.push(Effect::FetchList);
+        state.list_at = now + state.params.list_ms;
+        out.push(Effect::FetchInstances);
     }
     if state.stopping && state.requests.is_empty() && state.roll.is_none() {
         out.push(Effect::Exit);
@@ -75,13 +75,13 @@
         }
         (PeerRole::Agent, Message::Load(load)) => agents::on_load_report(state, &from.id, load),
         (PeerRole::Agent, Message::Piece { run, offset, text }) => {
-            sending::on_piece(state, now, run, offset, text, out);
+            attempts::on_piece(state, now, run, offset, text, out);
         }
         (PeerRole::Agent, Message::End { run, end }) => {
-            sending::on_attempt_end(state, now, &from.id, run, end, out)
+            attempts::on_attempt_end(state, now, &from.id, run, end, out)
         }
         (PeerRole::Agent, Message::Recalled { run, recall }) => {
-            recalling::on_query_reply(state, now, run, recall, out);
+            claim_query::on_query_reply(state, now, run, recall, out);
         }
         (PeerRole::Router, Message::HeadAsk { asked_at, number }) => {
             peers::on_head_ask(state, now, from, asked_at, number, out);
@@ -93,7 +93,7 @@
             claim_batch::add_forwarded(state, now, &from.id, writes);
         }
         (PeerRole::Router, Message::ClaimReply(answers)) => {
-            claiming::on_claim_reply(state, now, answers, out);
+            claims::on_claim_reply(state, now, answers, out);
         }
         _ => {
             let event = LogEvent::new(LogCode::UnexpectedMessage).with("from", &from.id);
@@ -115,25 +115,25 @@
         return;
     };
     match purpose {
-        Purpose::ReadFleet => {
+        CallPurpose::ReadFleet => {
             if let Ok(StoreReply::Entries { revision, entries }) = result {
                 fleet::on_read(state, now, revision, entries, out);
             }
         }
-        Purpose::ProveHead(asked_at) => {
+        CallPurpose::ProveHead(asked_at) => {
             if let Ok(StoreReply::Entries { entries, .. }) = result {
                 head::on_head_read(state, now, asked_at, &entries, out);
             }
         }
-        Purpose::Submit { job, number } => {
+        CallPurpose::Submit { job, number } => {
             operator::on_submit_result(state, job, number, result, out)
         }
-        Purpose::Approve { job, number, by } => {
+        CallPurpose::Approve { job, number, by } => {
             operator::on_approve_result(state, job, number, by, result, out);
         }
-        Purpose::Roll => roll::on_written(state, now, result, out),
-        Purpose::Claims(claims) => claiming::on_batch_written(state, now, claims, result, out),
-        Purpose::ClaimLease(asked_at) => {
+        CallPurpose::Roll => roll::on_written(state, now, result, out),
+        CallPurpose::Claims(claims) => claims::on_batch_written(state, now, claims, result, out),
+        CallPurpose::ClaimLease(asked_at) => {
             if let Ok(StoreReply::Lease { lease, .. }) = result {
                 state.claims.lease = Some(lease);
                 state.claims.leased_at = asked_at;
--- a/src/logic/router/store_call.rs
+++ b/src/logic/router/store_call.rs
@@ -1,4 +1,4 @@
-use super::{Check, Put};
+use super::{KeyWrite, RevisionCheck};
 
 /// A call to the platform's key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -11,11 +11,11 @@
         prefix: bool,
     },
     /// Write and delete if every check holds; otherwise read. All of it is one transaction.
-    Swap {
+    Transaction {
         /// Conditions.
-        checks: Vec<Check>,
+        checks: Vec<RevisionCheck>,
         /// Keys written if all conditions hold.
-        puts: Vec<Put>,
+        puts: Vec<KeyWrite>,
         /// Keys deleted if all conditions hold.
         deletes: Vec<String>,
         /// Keys read if a condition fails.
--- a/src/logic/router/store_reply.rs
+++ b/src/logic/router/store_reply.rs
@@ -10,8 +10,8 @@
         /// Keys and values.
         entries: Vec<StoreEntry>,
     },
-    /// Result of a [`StoreCall::Swap`](super::StoreCall).
-    Swapped {
+    /// Result of a [`StoreCall::Transaction`](super::StoreCall).
+    Transaction {
         /// True when every check held.
         done: bool,
         /// The service's revision at the time.
--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -7,7 +7,7 @@
 use super::router_settings::read_net;
 use super::SettingsError;
 use crate::endpoint::EndpointSettings;
-use crate::logic::agent::AgentKnobs;
+use crate::logic::agent::AgentParams;
 use crate::wire::NetSettings;
 
 /// Settings of an agent.
@@ -24,7 +24,7 @@
     /// Address of the statsd receiver; none where metrics are only kept.
     pub statsd: Option<SocketAddr>,
     /// Parameters of the agent's decisions.
-    pub knobs: AgentKnobs,
+    pub params: AgentParams,
 }
 
 impl Default for AgentSettings {
@@ -35,7 +35,7 @@
             net: NetSettings::default(),
             endpoint: EndpointSettings::default(),
             statsd: None,
-            knobs: AgentKnobs::default(),
+            params: AgentParams::default(),
         }
     }
 }
@@ -53,7 +53,7 @@
             net: read_net(&mut ini),
             endpoint: read_endpoint(&mut ini),
             statsd: ini.optional("metrics", "statsd", "an IP address and a port"),
-            knobs: read_params(&mut ini),
+            params: read_params(&mut ini),
         };
         ini.finish()?;
         Ok(settings)
@@ -91,8 +91,8 @@
     }
 }
 
-fn read_params(ini: &mut IniReader) -> AgentKnobs {
-    let d = AgentKnobs::default();
+fn read_params(ini: &mut IniReader) -> AgentParams {
+    let d = AgentParams::default();
     let lease_ms = ini.number(
         "group",
         "lease_ms",
@@ -103,7 +103,7 @@
     // A margin of a tenth of the lease covers clocks that drift apart by a tenth.
     let margin = (lease_ms / 10).max(1);
     let ask = (lease_ms / 3).max(1);
-    AgentKnobs {
+    AgentParams {
         lease_ms,
         margin_ms: ini.number("group", "margin_ms", margin, 1..=30_000, "milliseconds"),
         ask_ms: ini.number(
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -7,7 +7,7 @@
 use super::SettingsError;
 use crate::link::{Watch, WatchPace};
 use crate::logic::direct::{DirectParams, Mechanism};
-use crate::types::FigureGap;
+use crate::types::MissingValue;
 
 /// Settings of a router that reaches endpoints by direct HTTP links.
 #[derive(Clone, Debug)]
@@ -37,9 +37,9 @@
     /// Read calls that the store takes in a second from all routers; 0 where it isn't known.
     pub reads: u64,
     /// Parameters of the router's decisions.
-    pub knobs: DirectParams,
+    pub params: DirectParams,
     /// Values that the file leaves empty, with the defaults that are used in their place.
-    pub gaps: Vec<FigureGap>,
+    pub missing_values: Vec<MissingValue>,
 }
 
 /// Factor of the wait of the watch of the routers' own keys, over that of the other watches.
@@ -79,8 +79,8 @@
             list_ms: 150,
             drain_ms: 2_000,
             reads: 0,
-            knobs: DirectParams::default(),
-            gaps: Vec::new(),
+            params: DirectParams::default(),
+            missing_values: Vec::new(),
         }
     }
 }
@@ -115,8 +115,8 @@
             list_ms: ini.number("direct", "list_ms", d.list_ms, 0..=10_000, "milliseconds"),
             drain_ms: ini.scaled_number("direct", "drain_ms", d.drain_ms, 1, "milliseconds"),
             reads: ini.scaled_number("direct", "reads_per_s", d.reads, 1, "calls"),
-            knobs: read_params(&mut ini),
-            gaps: ini.missing_values().to_vec(),
+            params: read_params(&mut ini),
+            missing_values: ini.missing_values().to_vec(),
         };
         ini.finish()?;
         Ok(settings)
--- a/src/settings/ini_reader.rs
+++ b/src/settings/ini_reader.rs
@@ -10,7 +10,7 @@
 use ini::Ini;
 
 use super::{SettingsError, SettingsFault};
-use crate::types::FigureGap;
+use crate::types::MissingValue;
 
 /// Upper bound of a scaled number: 30 years in milliseconds, so that sums of a few such
 /// numbers can't overflow.
@@ -25,7 +25,7 @@
     ini: Ini,
     used: BTreeSet<(String, String)>,
     faults: Vec<SettingsFault>,
-    missing: Vec<FigureGap>,
+    missing: Vec<MissingValue>,
 }
 
 impl IniReader {
@@ -146,7 +146,7 @@
             return default;
         };
         if text.trim().is_empty() {
-            self.missing.push(FigureGap {
+            self.missing.push(MissingValue {
                 place: format!("[{section}] {key}"),
                 found: "nothing".to_string(),
                 used: format!("{} {unit}", default as f64 / f64::from(scale)),
@@ -165,7 +165,7 @@
     }
 
     /// The missing values so far, with the defaults that are used in their place.
-    pub fn missing_values(&self) -> &[FigureGap] {
+    pub fn missing_values(&self) -> &[MissingValue] {
         &self.missing
     }
 
--- a/src/settings/router_settings.rs
+++ b/src/settings/router_settings.rs
@@ -6,7 +6,7 @@
 use super::ini_reader::IniReader;
 use super::SettingsError;
 use crate::etcd::PlatformSettings;
-use crate::logic::router::RouterKnobs;
+use crate::logic::router::RouterParams;
 use crate::wire::NetSettings;
 
 /// Hexadecimal digits of a SHA-256 hash.
@@ -38,7 +38,7 @@
     /// Address of the statsd receiver; none where metrics are only kept.
     pub statsd: Option<SocketAddr>,
     /// Parameters of the router's decisions.
-    pub knobs: RouterKnobs,
+    pub params: RouterParams,
 }
 
 impl Default for RouterSettings {
@@ -56,7 +56,7 @@
             body_limit: 1024 * 1024,
             caller_limit: 1_024,
             statsd: None,
-            knobs: RouterKnobs::default(),
+            params: RouterParams::default(),
         }
     }
 }
@@ -103,7 +103,7 @@
                 "requests",
             ),
             statsd: ini.optional("metrics", "statsd", "an IP address and a port"),
-            knobs: read_params(&mut ini),
+            params: read_params(&mut ini),
         };
         ini.finish()?;
         Ok(settings)
@@ -197,12 +197,12 @@
     }
 }
 
-fn read_params(ini: &mut IniReader) -> RouterKnobs {
-    let d = RouterKnobs::default();
+fn read_params(ini: &mut IniReader) -> RouterParams {
+    let d = RouterParams::default();
     let mut ms = |section: &str, key: &str, default: u64, min: u64, max: u64| {
         ini.number(section, key, default, min..=max, "milliseconds")
     };
-    let mut params = RouterKnobs {
+    let mut params = RouterParams {
         proof_ms: ms("bundles", "proof_ms", d.proof_ms, 200, 60_000),
         prove_ms: ms("bundles", "prove_ms", d.prove_ms, 50, 30_000),
         ask_ms: ms("bundles", "ask_ms", d.ask_ms, 50, 30_000),
--- a/src/types/routing.rs
+++ b/src/types/routing.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{CallerLimits, FigureGap, KeyedAccount, RouteSpec, ServiceSpec};
+use super::{CallerLimits, KeyedAccount, MissingValue, RouteSpec, ServiceSpec};
 
 /// Routes, services and accounts, as read from the operators' document that is in force.
 ///
@@ -22,7 +22,7 @@
     /// Limits on callers' requests.
     pub limits: CallerLimits,
     /// Values that the document lacks, with the defaults used instead.
-    pub gaps: Vec<FigureGap>,
+    pub missing_values: Vec<MissingValue>,
 }
 
 impl Routing {
--- a/tests/check/bundles.rs
+++ b/tests/check/bundles.rs
@@ -12,9 +12,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::router::{
-    CallId, Keys, ListReply, OperatorCall, RouterKnobs, RouterState, StoreCall, StoreEntry,
+    CallId, Keys, ListReply, OperatorCall, RouterParams, RouterState, StoreCall, StoreEntry,
     StoreFault, StoreReply,
 };
 use runrail::logic::{
@@ -104,14 +104,14 @@
 
 fn router(i: usize, rules: Rules) -> RouterState {
     const NEVER_MS: u64 = 1_000_000_000;
-    let params = RouterKnobs {
+    let params = RouterParams {
         proof_ms: PROOF_MS,
         prove_ms: 1,
         ask_ms: 1,
         list_ms: NEVER_MS,
         planner_ms: 3 * NEVER_MS,
         plan_ms: NEVER_MS,
-        ..RouterKnobs::default()
+        ..RouterParams::default()
     };
     let mut state = RouterState::new(
         InstanceId::new(NAMES[i]),
@@ -125,9 +125,9 @@
 }
 
 fn agent(rules: Rules) -> AgentState {
-    let params = AgentKnobs {
+    let params = AgentParams {
         slots: 1,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     };
     let mut state = AgentState::new(InstanceId::new("x"), 1, 0, params);
     state.ready_at = 0;
@@ -181,7 +181,7 @@
         for r in [0, 1] {
             world.feed(r, Event::Tick);
             let list = vec![instance("r1"), instance("r2")];
-            world.feed(r, Event::List(ListReply::Instances(list)));
+            world.feed(r, Event::Instances(ListReply::Instances(list)));
         }
         // Lets both routers read the service and exchange messages.
         for _ in 0..8 {
@@ -247,7 +247,7 @@
         let head = |key: &String| key == Keys::HEAD || key == Keys::FLEET;
         let is_modelled = match &op {
             StoreCall::Read { key, .. } => head(key),
-            StoreCall::Swap { .. } => true,
+            StoreCall::Transaction { .. } => true,
             _ => false,
         };
         if is_modelled {
@@ -335,7 +335,7 @@
         for n in 0..self.pending.len() {
             let PendingCall { router, call, op } = self.pending[n].clone();
             let name = NAMES[router];
-            let is_swap = matches!(op, StoreCall::Swap { .. });
+            let is_swap = matches!(op, StoreCall::Transaction { .. });
             if self.cut[router] {
                 self.add_successor(format!("{name}'s call fails"), successors, |w| {
                     w.pending.remove(n);
@@ -391,14 +391,14 @@
     fn apply_call(&mut self, op: &StoreCall) -> StoreReply {
         let revision = self.revision;
         match op {
-            StoreCall::Swap { checks, puts, .. } => {
+            StoreCall::Transaction { checks, puts, .. } => {
                 let done = checks.iter().all(|c| c.revision == revision);
                 if done {
                     self.revision += 1;
                     self.head = serde_json::from_str(&puts[0].value).expect("a head");
                     self.accepted.push((self.head.number, self.time));
                 }
-                StoreReply::Swapped {
+                StoreReply::Transaction {
                     done,
                     revision: self.revision,
                     entries: if done {
--- a/tests/check/claims.rs
+++ b/tests/check/claims.rs
@@ -14,9 +14,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::router::{
-    AnswerPart, CallId, CallerRequest, Keys, ListReply, Outcome, RouterKnobs, RouterState,
+    AnswerPart, CallId, CallerRequest, Keys, ListReply, Outcome, RouterParams, RouterState,
     StoreCall, StoreEntry, StoreFault, StoreReply,
 };
 use runrail::logic::{
@@ -209,7 +209,7 @@
 
 fn router(i: usize, faults: &Faults) -> Node {
     const NEVER_MS: u64 = 1_000_000_000;
-    let params = RouterKnobs {
+    let params = RouterParams {
         prove_ms: NEVER_MS,
         list_ms: NEVER_MS,
         planner_ms: 3 * NEVER_MS,
@@ -222,7 +222,7 @@
         recall_ms: 0,
         claim_tries: 4,
         ramp_ms: 0,
-        ..RouterKnobs::default()
+        ..RouterParams::default()
     };
     let id = InstanceId::new(NAMES[i]);
     let mut state = RouterState::new(id, addr(), "h", 10 + i as u64, params);
@@ -243,9 +243,9 @@
 }
 
 fn agent(i: usize, incarnation: u64, rules: Rules) -> Node {
-    let params = AgentKnobs {
+    let params = AgentParams {
         slots: 1,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     };
     let mut state = AgentState::new(InstanceId::new(NAMES[i]), incarnation, 0, params);
     // The wait after a start is part of the model of groups; here time stands still.
@@ -293,12 +293,12 @@
             } else {
                 Vec::new()
             };
-            world.feed(r, Event::List(ListReply::Instances(list)));
+            world.feed(r, Event::Instances(ListReply::Instances(list)));
         }
         if faults.one_writer {
             for r in ROUTERS {
                 let other = world.peer(1 - r);
-                world.feed(r, Event::Up(other));
+                world.feed(r, Event::SessionOpened(other));
             }
         }
         world.now = 100;
@@ -435,7 +435,7 @@
             StoreCall::Read { .. } | StoreCall::Renew { .. } | StoreCall::Revoke { .. } => {
                 Err(StoreFault)
             }
-            StoreCall::Swap { .. } => {
+            StoreCall::Transaction { .. } => {
                 self.pending.push(PendingCall {
                     router,
                     call: Some(call),
@@ -479,16 +479,16 @@
 
     /// Closes the session between a router and an agent and opens it again.
     fn renew_session(&mut self, r: usize, a: usize) {
-        let down = Event::Down(InstanceId::new(NAMES[a]));
+        let down = Event::SessionClosed(InstanceId::new(NAMES[a]));
         self.feed(r, down);
         let router = self.peer(r);
-        self.feed(a, Event::Down(router.id.clone()));
-        self.feed(a, Event::Up(router));
+        self.feed(a, Event::SessionClosed(router.id.clone()));
+        self.feed(a, Event::SessionOpened(router));
         let agent = self.peer(a);
-        self.feed(r, Event::Up(agent));
+        self.feed(r, Event::SessionOpened(agent));
         // The agent's first report must arrive after the router has opened its session.
         let router = self.peer(r);
-        self.feed(a, Event::Up(router));
+        self.feed(a, Event::SessionOpened(router));
     }
 
     fn next(&self, faults: &Faults) -> Vec<World> {
@@ -633,7 +633,7 @@
     }
 
     fn apply_swap(&mut self, op: &StoreCall) -> StoreReply {
-        let StoreCall::Swap {
+        let StoreCall::Transaction {
             checks,
             puts,
             reads,
@@ -659,7 +659,7 @@
                 revision: *revision,
             })
         });
-        StoreReply::Swapped {
+        StoreReply::Transaction {
             done,
             revision: self.revision,
             entries: entries.collect(),
--- a/tests/check/groups.rs
+++ b/tests/check/groups.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::{
     step, Effect, EndpointCall, EndpointEvent, Event, Node, Peer, PeerRole, Rules, RunResult,
 };
@@ -115,13 +115,13 @@
 }
 
 fn new_agent(i: usize, incarnation: u64, clock: Millis, faults: &Faults) -> AgentState {
-    let params = AgentKnobs {
+    let params = AgentParams {
         lease_ms: LEASE_MS,
         margin_ms: faults.margin,
         ask_ms: 1,
         slots: 1,
         report_ms: 1_000,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     };
     let mut state = AgentState::new(id(i), incarnation, clock, params);
     state.rules = faults.rules;
--- a/tests/contract/platform.rs
+++ b/tests/contract/platform.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use runrail::etcd::{KvClient, PlatformSettings, Watcher};
-use runrail::logic::router::{Check, Put, StoreCall, StoreChange, StoreReply, StoreResult};
+use runrail::logic::router::{
+    KeyWrite, RevisionCheck, StoreCall, StoreChange, StoreReply, StoreResult,
+};
 use testkit::{Platform, PlatformFault};
 
 const LONG: Duration = Duration::from_secs(20);
@@ -41,12 +43,12 @@
     }
 
     fn swap(&self, key: &str, revision: i64, value: &str, lease: Option<i64>) -> StoreResult {
-        self.call(StoreCall::Swap {
-            checks: vec![Check {
+        self.call(StoreCall::Transaction {
+            checks: vec![RevisionCheck {
                 key: key.into(),
                 revision,
             }],
-            puts: vec![Put {
+            puts: vec![KeyWrite {
                 key: key.into(),
                 value: value.into(),
                 lease,
@@ -60,7 +62,7 @@
 #[test]
 fn a_swap_is_written_only_at_the_revision_it_names() {
     let calls = Calls::start(&Platform::start());
-    let Ok(StoreReply::Swapped {
+    let Ok(StoreReply::Transaction {
         done: true,
         revision,
         ..
@@ -69,7 +71,7 @@
         panic!("the first write is refused");
     };
     let late = calls.swap("k", 0, "two", None);
-    let Ok(StoreReply::Swapped {
+    let Ok(StoreReply::Transaction {
         done: false,
         entries,
         ..
@@ -83,7 +85,7 @@
     );
     assert!(matches!(
         calls.swap("k", revision, "two", None),
-        Ok(StoreReply::Swapped { done: true, .. })
+        Ok(StoreReply::Transaction { done: true, .. })
     ));
 }
 
--- a/tests/direct/adapter.rs
+++ b/tests/direct/adapter.rs
@@ -4,10 +4,10 @@
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::BodyExt;
 use proptest::prelude::*;
-use runrail::link::Watched;
+use runrail::link::WatchResult;
 use runrail::logic::direct::{GroupOrder, GroupStep, OrderResult, Problem, RunRequest};
-use runrail::logic::router::{Check, Put, StoreCall, StoreEntry, StoreReply};
-use runrail::platform::dialect;
+use runrail::logic::router::{KeyWrite, RevisionCheck, StoreCall, StoreEntry, StoreReply};
+use runrail::platform::adapter;
 use runrail::types::{InstanceId, RequestRate, RouteKind, SeatState};
 
 use crate::fixture::addr;
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_configuration_becomes_routing() {
-    let routing = (dialect().routing)(CONFIG).expect("readable");
+    let routing = (adapter().parse_routing)(CONFIG).expect("readable");
     assert_eq!(routing.version, 7);
     let route = routing.route("a.example", "/x/1").expect("a route");
     assert_eq!((route.kind, route.resumable), (RouteKind::Streaming, true));
@@ -46,12 +46,12 @@
 #[test]
 fn a_configuration_that_can_not_be_read_is_an_error_that_names_the_place() {
     let wrong = CONFIG.replace("\"unsafe\"", "\"sometimes\"");
-    let error = (dialect().routing)(&wrong).expect_err("a fault");
+    let error = (adapter().parse_routing)(&wrong).expect_err("a fault");
     assert!(
         error.contains("r2") && error.contains("sometimes"),
         "{error}"
     );
-    assert!((dialect().routing)("{").is_err());
+    assert!((adapter().parse_routing)("{").is_err());
 }
 
 #[test]
@@ -65,7 +65,7 @@
             .to_string(),
         revision: 3,
     };
-    let (id, endpoint) = (dialect().entry)(&entry).expect("readable");
+    let (id, endpoint) = (adapter().parse_entry)(&entry).expect("readable");
     assert_eq!(id.as_str(), "i-1");
     assert!(endpoint.leaving);
     assert_eq!(endpoint.born, Some(1_790_000_000_000));
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_clients_request_is_read() {
-    let read = (dialect().request)(&caller_request(), b"");
+    let read = (adapter().parse_request)(&caller_request(), b"");
     assert_eq!(
         (read.host.as_str(), read.path.as_str()),
         ("a.example", "/x/1")
@@ -113,9 +113,9 @@
         let mut headers = http::HeaderMap::new();
         let value = text.parse().expect("a value");
         headers.insert("server-limit", value);
-        (dialect().rate)(&headers)
+        (adapter().parse_rate)(&headers)
     };
-    assert_eq!((dialect().rate)(&http::HeaderMap::new()), Ok(None));
+    assert_eq!((adapter().parse_rate)(&http::HeaderMap::new()), Ok(None));
     let rate = |milli| Ok(Some(RequestRate::from_milli(milli)));
     assert_eq!(read("2.3"), rate(2_300));
     assert_eq!(read(" 0"), rate(0));
@@ -128,7 +128,7 @@
 #[test]
 fn a_request_that_is_sent_again_has_the_same_fingerprint() {
     let fingerprint = |head: &http::request::Parts, body: &[u8], account| {
-        let read = (dialect().request)(head, body);
+        let read = (adapter().parse_request)(head, body);
         read.fingerprint.for_account(account)
     };
     let first = fingerprint(&caller_request(), b"body", Some("ann"));
@@ -156,7 +156,7 @@
         stream: true,
         avoid_stale: false,
     };
-    let sent = (dialect().run)(&run, &caller_request(), Bytes::from_static(b"body"));
+    let sent = (adapter().build_run)(&run, &caller_request(), Bytes::from_static(b"body"));
     let text = |name: &str| {
         let values: Vec<_> = sent.headers().get_all(name).iter().collect();
         assert!(values.len() <= 1, "{name} twice");
@@ -183,7 +183,7 @@
             let value = HeaderValue::from_str(value).expect("a value");
             response.headers_mut().insert(*name, value);
         }
-        (dialect().reply)(&response.into_parts().0, "abc")
+        (adapter().parse_reply)(&response.into_parts().0, "abc")
     };
     assert!(head(200, &[("x-attempt-id", "other")]).foreign);
     assert!(head(200, &[]).foreign);
@@ -208,12 +208,12 @@
 
 #[test]
 fn only_requests_that_did_not_run_are_answered_with_503() {
-    let status = |p| (dialect().problem)(p).status().as_u16();
+    let status = |p| (adapter().build_problem)(p).status().as_u16();
     assert_eq!(status(Problem::NotRun(500)), 503);
     assert_eq!(status(Problem::NotYet(1)), 503);
     assert_eq!(status(Problem::Unknown), 502);
     assert_eq!(status(Problem::TimedOut), 504);
-    let answer = (dialect().problem)(Problem::NotRun(1_250));
+    let answer = (adapter().build_problem)(Problem::NotRun(1_250));
     assert_eq!(answer.headers()["retry-after"], "1.250");
 }
 
@@ -228,7 +228,7 @@
         },
         fence: 9,
     };
-    let request = (dialect().order)(&InstanceId::new("i-1"), "10.0.0.1:80", &order);
+    let request = (adapter().build_order)(&InstanceId::new("i-1"), "10.0.0.1:80", &order);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -240,7 +240,7 @@
     assert_eq!(body["Operation"], "join");
     assert_eq!(body["Members"][0], "i-1");
     assert_eq!(body["Fence"], 9);
-    let read = |status| (dialect().ordered)(StatusCode::from_u16(status).expect("a status"));
+    let read = |status| (adapter().parse_order)(StatusCode::from_u16(status).expect("a status"));
     assert_eq!(read(202), OrderResult::Begun);
     assert_eq!(read(200), OrderResult::Done);
     assert_eq!(read(409), OrderResult::Unfit);
@@ -251,12 +251,12 @@
 
 #[test]
 fn calls_to_the_store_and_their_answers() {
-    let swap = StoreCall::Swap {
-        checks: vec![Check {
+    let swap = StoreCall::Transaction {
+        checks: vec![RevisionCheck {
             key: "k".to_string(),
             revision: 0,
         }],
-        puts: vec![Put {
+        puts: vec![KeyWrite {
             key: "k".to_string(),
             value: "v".to_string(),
             lease: Some(4),
@@ -266,32 +266,32 @@
     };
     let reply = |status, body: &str| {
         let status = StatusCode::from_u16(status).expect("a status");
-        (dialect().reply_of)(&swap, status, body.as_bytes()).expect("readable")
+        (adapter().parse_call)(&swap, status, body.as_bytes()).expect("readable")
     };
     let done = reply(200, r#"{"Revision":412}"#).expect("an answer");
     assert!(matches!(
         done,
-        StoreReply::Swapped {
+        StoreReply::Transaction {
             done: true,
             revision: 412,
             ..
         }
     ));
-    let error = (dialect().reply_of)(&swap, StatusCode::OK, b"{}").expect_err("no revision");
+    let error = (adapter().parse_call)(&swap, StatusCode::OK, b"{}").expect_err("no revision");
     assert!(error.contains("Revision"), "{error}");
     let held = r#"{"Items":[{"Key":"k","Value":"eA==","Revision":5,"Created":5,"Lease":0}]}"#;
     let conflict = reply(412, held).expect("an answer");
     assert!(
-        matches!(conflict, StoreReply::Swapped { done: false, ref entries, .. } if entries[0].value == "x")
+        matches!(conflict, StoreReply::Transaction { done: false, ref entries, .. } if entries[0].value == "x")
     );
     assert!(reply(503, "").is_err() && reply(429, "").is_err());
-    let ended = (dialect().reply_of)(&StoreCall::Renew { lease: 4 }, StatusCode::NOT_FOUND, b"");
+    let ended = (adapter().parse_call)(&StoreCall::Renew { lease: 4 }, StatusCode::NOT_FOUND, b"");
     assert_eq!(ended, Ok(Ok(StoreReply::Lease { lease: 4, ttl_s: 0 })));
-    let compacted = (dialect().watched)(StatusCode::GONE, b"{}");
-    assert_eq!(compacted, Ok(Watched::Forgotten));
+    let compacted = (adapter().parse_watch)(StatusCode::GONE, b"{}");
+    assert_eq!(compacted, Ok(WatchResult::Forgotten));
     let events = br#"{"events":[{"Key":"a","Value":"eA==","Revision":4},{"Key":"b","Revision":5,"Removed":true}],"AsOf":6}"#;
-    match (dialect().watched)(StatusCode::OK, events) {
-        Ok(Watched::Changes { revision, changes }) => {
+    match (adapter().parse_watch)(StatusCode::OK, events) {
+        Ok(WatchResult::Changes { revision, changes }) => {
             assert_eq!(revision, 6);
             assert_eq!(changes[0].value.as_deref(), Some("x"));
             assert_eq!(changes[1].value, None);
@@ -305,13 +305,13 @@
 fn the_era_of_an_answer_is_a_whole_number_or_absent() {
     let era = |value: &str| {
         let value = http::HeaderValue::from_str(value).expect("a header");
-        (dialect().store_era)(
+        (adapter().parse_era)(
             &[("Store-Era".parse().expect("a name"), value)]
                 .into_iter()
                 .collect(),
         )
     };
-    assert_eq!((dialect().store_era)(&http::HeaderMap::new()), Ok(None));
+    assert_eq!((adapter().parse_era)(&http::HeaderMap::new()), Ok(None));
     assert_eq!(era("3"), Ok(Some(3)));
     for wrong in ["", "-1", "2.5", "two"] {
         assert!(era(wrong).is_err(), "{wrong}");
@@ -323,19 +323,19 @@
     fn nothing_that_arrives_makes_the_adapter_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), status in 100u16..600) {
         let status = StatusCode::from_u16(status).expect("a status");
         let text = String::from_utf8_lossy(&bytes).to_string();
-        let _ = (dialect().routing)(&text);
+        let _ = (adapter().parse_routing)(&text);
         let entry = StoreEntry { key: text.clone(), value: text, revision: 1 };
-        let _ = (dialect().entry)(&entry);
-        let _ = (dialect().paged)(status, &bytes);
-        let _ = (dialect().watched)(status, &bytes);
-        let _ = (dialect().looked)(status, &bytes);
-        let _ = (dialect().reply_of)(&StoreCall::Grant { ttl_s: 1 }, status, &bytes);
+        let _ = (adapter().parse_entry)(&entry);
+        let _ = (adapter().parse_page)(status, &bytes);
+        let _ = (adapter().parse_watch)(status, &bytes);
+        let _ = (adapter().parse_report)(status, &bytes);
+        let _ = (adapter().parse_call)(&StoreCall::Grant { ttl_s: 1 }, status, &bytes);
     }
 
     #[test]
     fn a_configuration_cut_anywhere_is_refused_not_taken(cut in 1usize..1_200) {
         if cut < CONFIG.trim_end().len() {
-            prop_assert!((dialect().routing)(&CONFIG[..cut]).is_err());
+            prop_assert!((adapter().parse_routing)(&CONFIG[..cut]).is_err());
         }
     }
 }
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -284,7 +284,7 @@
     router.pass(1_000);
     let puts = router.done.iter().filter_map(|e| match e {
         Effect::Store {
-            op: StoreCall::Swap { puts, .. },
+            op: StoreCall::Transaction { puts, .. },
             ..
         } => puts.iter().find(|p| p.key.starts_with("runrail/crashes/")),
         _ => None,
@@ -306,7 +306,7 @@
 fn crash_writes(router: &Router) -> usize {
     let puts = router.done.iter().filter(|e| match e {
         Effect::Store {
-            op: StoreCall::Swap { puts, .. },
+            op: StoreCall::Transaction { puts, .. },
             ..
         } => puts.iter().any(|p| p.key.starts_with("runrail/crashes/")),
         _ => false,
--- a/tests/direct/fields.rs
+++ b/tests/direct/fields.rs
@@ -1,7 +1,7 @@
 //! Each field of the platform's documents: removed, in another spelling, of a wrong type.
 
 use runrail::logic::router::StoreEntry;
-use runrail::platform::dialect;
+use runrail::platform::adapter;
 use serde_json::{json, Value};
 
 /// Fields that may be absent without an error or a missing value, each with its reason.
@@ -101,10 +101,13 @@
         let (holder, name) = holder(&mut document, &path);
         holder.as_object_mut().expect("an object").remove(&name);
         let allowed = OPTIONAL.iter().any(|(o, _)| *o == path) || LISTS.contains(&&*path);
-        match (dialect().routing)(&document.to_string()) {
+        match (adapter().parse_routing)(&document.to_string()) {
             Err(error) => assert!(error.contains(&name) || name == "Split", "{path}: {error}"),
             Ok(routing) => {
-                let recorded = routing.gaps.iter().any(|g| g.place.starts_with(&path));
+                let recorded = routing
+                    .missing_values
+                    .iter()
+                    .any(|g| g.place.starts_with(&path));
                 assert!(
                     recorded || allowed,
                     "{path}: neither an error nor a missing value"
@@ -116,8 +119,12 @@
 
 #[test]
 fn the_case_of_a_name_and_its_underscores_change_nothing() {
-    let expected = (dialect().routing)(&config().to_string()).expect("readable");
-    assert!(expected.gaps.is_empty(), "{:?}", expected.gaps);
+    let expected = (adapter().parse_routing)(&config().to_string()).expect("readable");
+    assert!(
+        expected.missing_values.is_empty(),
+        "{:?}",
+        expected.missing_values
+    );
     let snake = |name: &str| {
         let mut out = String::new();
         for c in name.chars() {
@@ -140,7 +147,7 @@
             let fields = holder.as_object_mut().expect("an object");
             let value = fields.remove(&name).expect("the field");
             fields.insert(spelling(&name), value);
-            let read = (dialect().routing)(&document.to_string()).expect("readable");
+            let read = (adapter().parse_routing)(&document.to_string()).expect("readable");
             assert_eq!(read, expected, "{path}");
         }
     }
@@ -157,7 +164,7 @@
         let mut document = config();
         let (holder, name) = holder(&mut document, &path);
         holder[&name] = json!([[1]]);
-        let read = (dialect().routing)(&document.to_string());
+        let read = (adapter().parse_routing)(&document.to_string());
         if unused.contains(&&*path) || (path == "Routes[1].Service" && read.is_ok()) {
             continue;
         }
@@ -170,11 +177,11 @@
 fn a_rate_of_zero_counts_as_missing_and_the_default_is_used() {
     let mut document = config();
     document["Services"][0]["Engine"]["read_per_s"] = json!(0.0);
-    let routing = (dialect().routing)(&document.to_string()).expect("readable");
+    let routing = (adapter().parse_routing)(&document.to_string()).expect("readable");
     let engine = routing.services["m"].engine.as_ref().expect("an engine");
     assert!(engine.read_rate > 10_000);
-    assert_eq!(routing.gaps.len(), 1);
-    assert_eq!(routing.gaps[0].found, "0");
+    assert_eq!(routing.missing_values.len(), 1);
+    assert_eq!(routing.missing_values[0].found, "0");
 }
 
 #[test]
@@ -185,7 +192,7 @@
         "Models": [{"Name": "big"}],
         "group": {"Name": "g7", "epoch": 12, "rank": 0, "State": "open"}});
     let read = |value: &Value| {
-        (dialect().entry)(&StoreEntry {
+        (adapter().parse_entry)(&StoreEntry {
             key: "servers/i-1".to_string(),
             value: value.to_string(),
             revision: 3,
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -124,7 +124,7 @@
                         revision: 1,
                         entries: self.kept.clone(),
                     },
-                    StoreCall::Swap { .. } => StoreReply::Swapped {
+                    StoreCall::Transaction { .. } => StoreReply::Transaction {
                         done: true,
                         revision: FENCE,
                         entries: Vec::new(),
--- a/tests/direct/settings.rs
+++ b/tests/direct/settings.rs
@@ -58,7 +58,7 @@
             let read = load(&fill_template(field, value));
             let settings = read.unwrap_or_else(|why| panic!("{field} = {value:?}: {why}"));
             assert_eq!(
-                settings.gaps.len(),
+                settings.missing_values.len(),
                 usize::from(value.is_empty()),
                 "{field}"
             );
@@ -79,12 +79,12 @@
 #[test]
 fn figures_keep_their_fractions() {
     let extra = load(&fill_template("Bounds.BudgetExtra", "57.35")).expect("good");
-    assert_eq!(extra.knobs.retry_extra, 57_350);
+    assert_eq!(extra.params.retry_extra, 57_350);
     let window = load(&fill_template("Bounds.BudgetWindowS", "2.5")).expect("good");
-    assert_eq!(window.knobs.retry_window, 2_500);
+    assert_eq!(window.params.retry_window, 2_500);
     let none = load(&fill_template("Bounds.RetryBudgetRatio", "0")).expect("good");
     assert_eq!(
-        none.knobs.retry_ratio, 0,
+        none.params.retry_ratio, 0,
         "0 must not become the default ratio"
     );
 }
--- a/tests/logic/fairness.rs
+++ b/tests/logic/fairness.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use runrail::logic::agent::AgentKnobs;
+use runrail::logic::agent::AgentParams;
 use runrail::logic::RunResult;
 use runrail::message::{AttemptEnd, Refusal};
 
 use crate::fixture::{ends, started, Agent};
 
-fn slots(slots: u32) -> AgentKnobs {
-    AgentKnobs {
+fn slots(slots: u32) -> AgentParams {
+    AgentParams {
         slots,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     }
 }
 
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_full_queue_refuses_with_a_hint() {
-    let mut agent = Agent::open(AgentKnobs {
+    let mut agent = Agent::open(AgentParams {
         queue_limit: 1,
         ..slots(1)
     });
--- a/tests/logic/fixture.rs
+++ b/tests/logic/fixture.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::agent::{AgentKnobs, AgentState};
+use runrail::logic::agent::{AgentParams, AgentState};
 use runrail::logic::{
     step, Effect, EndpointCall, EndpointEvent, Event, Node, Peer, PeerRole, RunResult,
 };
@@ -59,8 +59,8 @@
 impl Agent {
     /// An agent with an open group and the classes `urgent`, for which a slot is reserved, and
     /// `drafting`, which can be paused.
-    pub fn open(knobs: AgentKnobs) -> Self {
-        let mut state = AgentState::new(InstanceId::new("x"), 1, 0, knobs);
+    pub fn open(params: AgentParams) -> Self {
+        let mut state = AgentState::new(InstanceId::new("x"), 1, 0, params);
         state.ready_at = 0;
         state.brief = Brief {
             number: 1,
@@ -70,7 +70,7 @@
             node: Node::Agent(Box::new(state)),
             now: 1,
         };
-        agent.feed(Event::Up(router()));
+        agent.feed(Event::SessionOpened(router()));
         agent.receive(Message::Assign(Box::new(record())));
         agent.feed(Event::Endpoint(EndpointEvent::Loaded {
             epoch: 1,
--- a/tests/logic/pausing.rs
+++ b/tests/logic/pausing.rs
@@ -1,16 +1,16 @@
 //! Preemption: an urgent request takes the slot of one of class `drafting`, which resumes at
 //! its offset later.
 
-use runrail::logic::agent::AgentKnobs;
+use runrail::logic::agent::AgentParams;
 use runrail::logic::{Event, RunResult};
 use runrail::message::AttemptEnd;
 
 use crate::fixture::{ends, started, stopped, Agent};
 
-fn two_slots() -> AgentKnobs {
-    AgentKnobs {
+fn two_slots() -> AgentParams {
+    AgentParams {
         slots: 2,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     }
 }
 
