--- a/tests/logic/planning.rs
+++ b/tests/logic/planning.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use runrail::logic::router::{plan, Condition, Health, Plan, PlanInput, WorldView};
+use runrail::logic::router::{plan, GroupCondition, InstanceHealth, ModelCounts, Plan, PlanInput};
 use runrail::types::{
     BundleBody, DomainRecord, GroupId, Instance, InstanceId, InstanceState, Measure, ModelKind,
     ModelSpec,
@@ -16,8 +16,8 @@
     body: BundleBody,
     record: DomainRecord,
     instances: Vec<Instance>,
-    health: BTreeMap<InstanceId, Health>,
-    conditions: BTreeMap<GroupId, Condition>,
+    health: BTreeMap<InstanceId, InstanceHealth>,
+    conditions: BTreeMap<GroupId, GroupCondition>,
     trade: bool,
 }
 
@@ -59,7 +59,7 @@
             record: DomainRecord::empty("d", "h"),
             health: instances
                 .iter()
-                .map(|i| (i.id.clone(), Health::Live))
+                .map(|i| (i.id.clone(), InstanceHealth::Live))
                 .collect(),
             instances,
             conditions: BTreeMap::new(),
@@ -72,13 +72,13 @@
             .record
             .groups
             .iter()
-            .map(|g| (g.id.clone(), Condition::Open));
+            .map(|g| (g.id.clone(), GroupCondition::Open));
         domain.conditions = open.collect();
         domain
     }
 
     fn plan(&self) -> Option<Plan> {
-        let mut hall: BTreeMap<Arc<str>, WorldView> = BTreeMap::new();
+        let mut hall: BTreeMap<Arc<str>, ModelCounts> = BTreeMap::new();
         for group in &self.record.groups {
             hall.entry(group.model.clone()).or_default().current += 1;
         }
@@ -97,11 +97,12 @@
 
     /// Sets the health of the second member of a group and closes the group; returns the id of
     /// the member.
-    fn lose(&mut self, group: usize, health: Health) -> InstanceId {
+    fn lose(&mut self, group: usize, health: InstanceHealth) -> InstanceId {
         let group = &self.record.groups[group];
         let lost = group.members[1].instance.clone();
         self.health.insert(lost.clone(), health);
-        self.conditions.insert(group.id.clone(), Condition::Closed);
+        self.conditions
+            .insert(group.id.clone(), GroupCondition::Closed);
         lost
     }
 }
@@ -118,7 +119,7 @@
 fn a_spare_replaces_a_lost_member_under_a_new_epoch() {
     let mut domain = Domain::new(5, vec![model("a", 1)]);
     let before = domain.record.groups[0].epoch;
-    let lost = domain.lose(0, Health::Gone);
+    let lost = domain.lose(0, InstanceHealth::Gone);
     let plan = domain.plan().expect("a plan");
     let group = &plan.record.groups[0];
     assert!(group.epoch > before && !group.has(&lost) && group.has(&InstanceId::new("i04")));
@@ -127,16 +128,16 @@
 #[test]
 fn a_silent_member_is_replaced_only_after_the_wait_limit() {
     let mut domain = Domain::new(5, vec![model("a", 1)]);
-    domain.lose(0, Health::Silent(29_000));
+    domain.lose(0, InstanceHealth::Silent(29_000));
     assert!(domain.plan().is_none());
-    domain.lose(0, Health::Silent(31_000));
+    domain.lose(0, InstanceHealth::Silent(31_000));
     assert!(domain.plan().is_some());
 }
 
 #[test]
 fn a_group_is_given_up_only_for_one_that_is_worth_more() {
     let mut domain = Domain::new(8, vec![model("high", 5), model("low", 1)]);
-    domain.lose(0, Health::Gone);
+    domain.lose(0, InstanceHealth::Gone);
     let plan = domain.plan().expect("a plan");
     let models: Vec<_> = plan
         .record
@@ -149,7 +150,7 @@
     domain.trade = false;
     assert!(domain.plan().is_none());
     let mut domain = Domain::new(8, vec![model("high", 5), model("low", 1)]);
-    domain.lose(1, Health::Gone);
+    domain.lose(1, InstanceHealth::Gone);
     assert!(
         domain.plan().is_none(),
         "the group of higher value is given up"
@@ -159,11 +160,11 @@
 #[test]
 fn two_broken_groups_become_a_whole_one() {
     let mut domain = Domain::new(8, vec![model("a", 1), model("b", 1)]);
-    domain.lose(0, Health::Gone);
-    domain.lose(1, Health::Gone);
+    domain.lose(0, InstanceHealth::Gone);
+    domain.lose(1, InstanceHealth::Gone);
     let plan = domain.plan().expect("a plan");
     assert_eq!(plan.record.groups.len(), 1);
-    let live = |m: &runrail::types::Member| domain.health[&m.instance] == Health::Live;
+    let live = |m: &runrail::types::Member| domain.health[&m.instance] == InstanceHealth::Live;
     assert!(plan.record.groups[0].members.iter().all(live));
 }
 
@@ -171,8 +172,10 @@
 fn a_group_whose_leader_lives_on_elsewhere_is_left_alone() {
     let mut domain = Domain::new(5, vec![model("a", 1)]);
     let lost = domain.record.groups[0].members[0].instance.clone();
-    domain.health.insert(lost, Health::Silent(60_000));
+    domain.health.insert(lost, InstanceHealth::Silent(60_000));
     let id = domain.record.groups[0].id.clone();
-    domain.conditions.insert(id, Condition::Outlived);
+    domain
+        .conditions
+        .insert(id, GroupCondition::LeaderUnreachable);
     assert!(domain.plan().is_none());
 }
--- a/tests/logic/remembering.rs
+++ b/tests/logic/remembering.rs
@@ -1,7 +1,7 @@
 //! The keys of requests that may not be repeated are kept for a time, their answers within a
 //! limit of bytes.
 
-use runrail::logic::agent::AgentKnobs;
+use runrail::logic::agent::AgentParams;
 use runrail::logic::{Effect, Event, RunResult};
 use runrail::message::{ClaimKey, Message, Once, Recall};
 
@@ -39,9 +39,9 @@
 
 #[test]
 fn the_oldest_answers_are_evicted_but_their_keys_stay() {
-    let mut agent = Agent::open(AgentKnobs {
+    let mut agent = Agent::open(AgentParams {
         answers_bytes: 25,
-        ..AgentKnobs::default()
+        ..AgentParams::default()
     });
     for number in 1..=3 {
         answer(&mut agent, number);
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_key_expires_only_after_its_time() {
-    let mut agent = Agent::open(AgentKnobs::default());
+    let mut agent = Agent::open(AgentParams::default());
     answer(&mut agent, 1);
     agent.now += 9_000;
     assert!(matches!(recall(&mut agent, 1), Some(Recall::Done { .. })));
