--- a/tests/direct/answers.rs
+++ b/tests/direct/answers.rs
@@ -76,7 +76,7 @@
     let mut router = two_groups();
     let sent = run(&router.ask(1, "/stream/x"));
     router.tell(DirectEvent::CallerGone(1));
-    assert_eq!(router.take(), vec![DirectEffect::Cancel(sent.run)]);
+    assert_eq!(router.take_effects(), vec![DirectEffect::Cancel(sent.run)]);
 }
 
 #[test]
@@ -84,8 +84,10 @@
     let mut router = two_groups();
     let begun = run(&router.ask(1, "/stream/x"));
     router.part(begun.run, RunPart::Head);
-    router.pass(5_100);
-    assert!(router.take().contains(&DirectEffect::AbortStream(1)));
+    router.advance_ms(5_100);
+    assert!(router
+        .take_effects()
+        .contains(&DirectEffect::AbortStream(1)));
 }
 
 /// Guards against a false "not run": the endpoint may have begun to run the request.
@@ -95,10 +97,18 @@
         let mut router = two_groups();
         router.change("p1", Some(plain(1).1));
         router.ask(1, path);
-        router.pass(4_960);
-        assert_eq!(problem(&router.take()), None, "{path}: it may still answer");
-        router.pass(60);
-        assert_eq!(problem(&router.take()), Some(Problem::TimedOut), "{path}");
+        router.advance_ms(4_960);
+        assert_eq!(
+            problem(&router.take_effects()),
+            None,
+            "{path}: it may still answer"
+        );
+        router.advance_ms(60);
+        assert_eq!(
+            problem(&router.take_effects()),
+            Some(Problem::TimedOut),
+            "{path}"
+        );
     }
 }
 
@@ -130,14 +140,14 @@
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
     router.part(first.run, piece(1));
-    router.pass(700);
-    let soon = router.take();
+    router.advance_ms(700);
+    let soon = router.take_effects();
     assert!(
         !soon.contains(&DirectEffect::Cancel(first.run)),
         "it may be slow"
     );
-    router.pass(400);
-    let effects = router.take();
+    router.advance_ms(400);
+    let effects = router.take_effects();
     assert!(effects.contains(&DirectEffect::Cancel(first.run)));
     assert_eq!(run(&effects).last_event, Some(1));
 }
@@ -147,10 +157,10 @@
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
-    router.pass(1_500);
+    router.advance_ms(1_500);
     let ends =
         |e: &DirectEffect| matches!(e, DirectEffect::Cancel(_) | DirectEffect::AbortStream(_));
-    assert!(!router.take().iter().any(ends));
+    assert!(!router.take_effects().iter().any(ends));
     assert_eq!(router.part(first.run, piece(1)).len(), 1);
 }
 
@@ -160,8 +170,8 @@
     entries[0].1.leaving = true;
     let mut router = Router::new(entries);
     router.ask(1, "/stream/x");
-    router.pass(1_300);
-    let effects = router.take();
+    router.advance_ms(1_300);
+    let effects = router.take_effects();
     assert!(matches!(problem(&effects), Some(Problem::NotRun(_))));
     assert!(!effects.iter().any(|e| matches!(e, DirectEffect::Run(_))));
 }
@@ -178,7 +188,7 @@
         };
         let effects = router.part(sent.run, failed);
         again += usize::from(effects.iter().any(|e| matches!(e, DirectEffect::Run(_))));
-        router.pass(20);
+        router.advance_ms(20);
     }
     // 200 per 1,000 requests and a sixteenth of 160 retries, in any 10 s.
     assert!((60..=115).contains(&again), "{again}");
@@ -192,15 +202,15 @@
     let first = run(&router.ask(1, "/stream/x"));
     router.part(first.run, RunPart::Head);
     router.part(first.run, piece(1));
-    router.pass(400);
-    router.take();
+    router.advance_ms(400);
+    router.take_effects();
     let (id, mut entry) = open_group("h", [1, 2, 3]).remove(0);
     if let Some(seat) = &mut entry.seat {
         seat.epoch = 9;
     }
     router.change(id.as_str(), Some(entry));
-    router.pass(40);
-    let moved = run(&router.take());
+    router.advance_ms(40);
+    let moved = run(&router.take_effects());
     assert_eq!((moved.to.as_str(), moved.last_event), ("e1", Some(1)));
 }
 
@@ -218,7 +228,7 @@
         .ask(2, "/stream/x")
         .iter()
         .any(|e| matches!(e, DirectEffect::Run(_))));
-    router.pass(1_100);
+    router.advance_ms(1_100);
     assert!(!run(&router.ask(3, "/stream/x")).to.as_str().is_empty());
     assert!(first.run > 0);
 }
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -36,11 +36,11 @@
 
 /// Sends a request that crashes each endpoint that begins it; returns the crashed endpoints.
 fn send_fatal(router: &mut Router, request: DirectRequest) -> Vec<InstanceId> {
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::Request(Box::new(request)));
     let mut crashed = Vec::new();
     loop {
-        let run = router.take().into_iter().find_map(|e| match e {
+        let run = router.take_effects().into_iter().find_map(|e| match e {
             DirectEffect::Run(run) => Some((run.run, run.to)),
             _ => None,
         });
@@ -62,12 +62,12 @@
 
 /// Answers the probes of endpoints that have crashed: nothing listens there.
 fn answer_probes(router: &mut Router) {
-    let probes = router.done.iter().filter_map(|e| match e {
+    let probes = router.effects.iter().filter_map(|e| match e {
         Effect::Direct(DirectEffect::Probe { id, .. }) => Some(id.to_string()),
         _ => None,
     });
     for id in probes.collect::<Vec<_>>() {
-        router.looked(&id, ProbeResult::Refused);
+        router.answer_probe(&id, ProbeResult::Refused);
     }
 }
 
@@ -79,7 +79,7 @@
     let mut crashes = 0;
     for id in 0..6 {
         crashes += send_fatal(&mut router, fatal(id)).len();
-        router.pass(200);
+        router.advance_ms(200);
     }
     assert_eq!(crashes, BLOCKING_CRASHES);
 }
@@ -96,8 +96,8 @@
         value: addr(port).to_string(),
         revision: 1,
     };
-    first.kept = vec![store_entry("r2", 2_001)];
-    second.kept = vec![store_entry("r1", 2_000)];
+    first.store_entries = vec![store_entry("r2", 2_001)];
+    second.store_entries = vec![store_entry("r1", 2_000)];
     let mut crashes = 0;
     for id in 0..6 {
         let (here, there) = if id % 2 == 0 {
@@ -111,8 +111,8 @@
             here.change(gone.as_str(), None);
             there.change(gone.as_str(), None);
         }
-        here.pass(400);
-        for (_, message) in here.said() {
+        here.advance_ms(400);
+        for (_, message) in here.sent_messages() {
             let from = addr(2_000);
             there.tell(DirectEvent::PeerMessage { from, message });
         }
@@ -122,9 +122,9 @@
 
 /// Sends a request; returns the problem that its caller gets, if it is refused.
 fn refused(router: &mut Router, request: DirectRequest) -> Option<Problem> {
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::Request(Box::new(request)));
-    problem(&router.take())
+    problem(&router.take_effects())
 }
 
 /// While one copy of a risky request is in flight, another is refused as not run; once the
@@ -138,7 +138,7 @@
     router.part(run(&second).run, RunPart::Head);
     assert_eq!(refused(&mut router, fatal(3)), Some(Problem::NotRun(400)));
     router.part(run(&second).run, RunPart::Broken);
-    router.looked(&at, ProbeResult::Refused);
+    router.answer_probe(&at, ProbeResult::Refused);
     let answer = refused(&mut router, fatal(4));
     assert_eq!(answer, Some(Problem::CrashesEndpoints));
 }
@@ -154,7 +154,7 @@
         router.part(begun.run, RunPart::Head);
         router.part(begun.run, piece(1));
         router.part(begun.run, RunPart::Broken);
-        router.looked(begun.to.as_str(), ProbeResult::Refused);
+        router.answer_probe(begun.to.as_str(), ProbeResult::Refused);
     }
     assert_eq!(router.state().crashes.table.len(), 0);
 }
@@ -171,8 +171,8 @@
             seat: None,
             slowness: 1_000,
         };
-        router.looked(run(&sent).to.as_str(), alive);
-        router.pass(2_000);
+        router.answer_probe(run(&sent).to.as_str(), alive);
+        router.advance_ms(2_000);
     }
     assert!(router.state().crashes.table.is_empty());
 }
@@ -191,7 +191,7 @@
         seat: None,
         slowness: 1_000,
     };
-    router.looked(run(&sent).to.as_str(), alive);
+    router.answer_probe(run(&sent).to.as_str(), alive);
     let table = &router.state().crashes.table;
     assert_eq!(
         table.suspected(&fatal(1).fingerprint.for_account(Some("ann"))),
@@ -208,7 +208,7 @@
         send_fatal(&mut router, fatal(1)).len(),
         BLOCKING_CRASHES - 1
     );
-    router.pass(2_000);
+    router.advance_ms(2_000);
     let sent = router.ask_for(fatal(2));
     router.part(run(&sent).run, RunPart::Head);
     router.part(run(&sent).run, piece(1));
@@ -229,10 +229,10 @@
     router.part(run(&sent).run, RunPart::End);
     for id in 2..6 {
         send_fatal(&mut router, fatal(id));
-        router.pass(1_000);
+        router.advance_ms(1_000);
     }
     assert!(router.state().crashes.table.is_empty());
-    router.pass(60_000);
+    router.advance_ms(60_000);
     assert_eq!(
         send_fatal(&mut router, fatal(9)).len(),
         BLOCKING_CRASHES - 1
@@ -276,13 +276,13 @@
 #[test]
 fn a_router_that_starts_later_reads_which_requests_are_refused() {
     let mut router = Router::planner(open_groups());
-    router.take();
+    router.take_effects();
     (0..3).for_each(|id| {
         send_fatal(&mut router, fatal(id));
     });
-    router.done.clear();
-    router.pass(1_000);
-    let puts = router.done.iter().filter_map(|e| match e {
+    router.effects.clear();
+    router.advance_ms(1_000);
+    let puts = router.effects.iter().filter_map(|e| match e {
         Effect::Store {
             op: StoreCall::Transaction { puts, .. },
             ..
@@ -291,20 +291,20 @@
     });
     let put = puts.last().cloned().expect("a write");
     let mut later = Router::bare();
-    later.kept = vec![StoreEntry {
+    later.store_entries = vec![StoreEntry {
         key: put.key,
         value: put.value,
         revision: 1,
     }];
     later.initialize(open_groups());
-    later.pass(400);
+    later.advance_ms(400);
     let answer = refused(&mut later, fatal(9));
     assert_eq!(answer, Some(Problem::CrashesEndpoints));
 }
 
 /// Number of writes of crash records to the key-value service.
 fn crash_writes(router: &Router) -> usize {
-    let puts = router.done.iter().filter(|e| match e {
+    let puts = router.effects.iter().filter(|e| match e {
         Effect::Store {
             op: StoreCall::Transaction { puts, .. },
             ..
@@ -324,8 +324,8 @@
     }
     router.feed(Event::Stop);
     send_fatal(&mut router, fatal(3));
-    router.done.clear();
-    router.pass(200);
+    router.effects.clear();
+    router.advance_ms(200);
     assert_eq!(crash_writes(&router), 1);
 }
 
@@ -350,17 +350,17 @@
             from: addr(2_000),
             message: PeerMessage::Crashes(vec![report.clone()]),
         });
-        router.done.clear();
+        router.effects.clear();
         router
     };
     let mut alone = informed();
-    alone.pass(500);
+    alone.advance_ms(500);
     assert_eq!(
         crash_writes(&alone),
         0,
         "written before the other router had time to"
     );
-    alone.pass(2_000);
+    alone.advance_ms(2_000);
     assert_eq!(crash_writes(&alone), 1);
     let mut shown = informed();
     shown.feed(Event::Watch(vec![StoreChange {
@@ -368,7 +368,7 @@
         value: Some(serde_json::to_string(&report).expect("text")),
         revision: 9,
     }]));
-    shown.pass(3_000);
+    shown.advance_ms(3_000);
     assert_eq!(crash_writes(&shown), 0);
 }
 
@@ -433,8 +433,8 @@
             .pending_reports
             .insert(of(request).request, (0, 1));
     }
-    router.pass(20);
-    let sent = router.said();
+    router.advance_ms(20);
+    let sent = router.sent_messages();
     let reports = sent
         .iter()
         .filter(|(_, m)| matches!(m, PeerMessage::Crashes(_)));
--- a/tests/direct/demand.rs
+++ b/tests/direct/demand.rs
@@ -41,7 +41,7 @@
 fn a_group_that_callers_don_t_need_is_traded_for_one_that_they_do() {
     let mut router = Router::planner(fleet());
     keep_busy(&mut router, 2.0, 0.4, 4);
-    router.pass(1_000);
+    router.advance_ms(1_000);
     // The spare and the members of one small group form a second large one.
     let traded: Vec<String> = router
         .state()
@@ -58,7 +58,7 @@
 fn a_group_that_callers_need_is_left_alone() {
     let mut router = Router::planner(fleet());
     keep_busy(&mut router, 0.6, 1.8, 4);
-    router.pass(1_000);
+    router.advance_ms(1_000);
     assert!(router.state().plan.traded_groups.is_empty());
 }
 
@@ -70,8 +70,8 @@
         .peers
         .insert(InstanceId::new("r2"), addr(802));
     keep_busy(&mut router, 2.0, 0.4, 4);
-    router.pass(1_000);
-    assert!(closed(&router.take()).is_empty());
+    router.advance_ms(1_000);
+    assert!(closed(&router.take_effects()).is_empty());
     assert!(router.state().plan.traded_groups.is_empty());
     let part = |model: &str, requests: u64| ModelDemand {
         requests: requests * 1_000,
@@ -90,7 +90,7 @@
             models: vec![part(MODEL, 25), part("small", 5)],
         },
     });
-    router.pass(300);
+    router.advance_ms(300);
     assert!(!router.state().plan.traded_groups.is_empty());
 }
 
@@ -98,7 +98,7 @@
 /// in thousandths a second.
 fn reported(router: &mut Router) -> u64 {
     let models = router
-        .said()
+        .sent_messages()
         .into_iter()
         .find_map(|(_, message)| match message {
             PeerMessage::Demand { models, .. } => Some(models),
@@ -111,7 +111,7 @@
 fn reporting(entries: Vec<(InstanceId, EndpointEntry)>) -> Router {
     let routers = [InstanceId::new("r2"), InstanceId::new("r1")];
     let mut router = Router::named("r1", &routers, entries);
-    router.pass(1_000);
+    router.advance_ms(1_000);
     router
 }
 
@@ -123,13 +123,13 @@
         asked.wait_ms = Some(wait);
         router.tell(DirectEvent::Request(Box::new(asked)));
     }
-    router.take();
-    router.pass(1_100);
+    router.take_effects();
+    router.advance_ms(1_100);
     let four = reported(&mut router);
     let mut router = reporting(fleet());
     router.ask(1, "/stream/x");
-    router.take();
-    router.pass(1_100);
+    router.take_effects();
+    router.advance_ms(1_100);
     assert_eq!(four, 4 * reported(&mut router));
 }
 
@@ -142,8 +142,8 @@
         for id in 0..8 {
             router.ask(id, "/stream/x");
         }
-        router.take();
-        router.pass(1_100);
+        router.take_effects();
+        router.advance_ms(1_100);
         reported(&mut router)
     };
     let (served, refused) = (rate(fleet()), rate(small_groups()));
@@ -165,9 +165,9 @@
             models: vec![behind],
         },
     });
-    router.pass(1_100);
+    router.advance_ms(1_100);
     let reports = router
-        .said()
+        .sent_messages()
         .into_iter()
         .filter_map(|(_, message)| match message {
             PeerMessage::Demand { routers, models } => Some((routers, models[0].requests)),
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -9,8 +9,8 @@
 use runrail::types::{EndpointEntry, InstanceId, SeatState, StorePosition};
 
 use crate::fixture::{
-    addr, at, empty_digest, engine, hear, open_group, pace, plain, routing, run, seat, Router,
-    FENCE, MODEL,
+    addr, at, empty_digest, engine, open_group, pace, plain, receive_digest, routing, run, seat,
+    Router, FENCE, MODEL,
 };
 
 /// Ids of so many routers; the first one is the planner.
@@ -70,7 +70,7 @@
                 from: addr(1),
                 message,
             });
-            let next = router.said();
+            let next = router.sent_messages();
             most = most.max(next.len());
             pending.extend(next);
         }
@@ -84,8 +84,8 @@
         let names = names(count);
         let mut planner = Router::named("r0", &names, open_group("g", [1, 2, 3]));
         planner.state().plan.lease.holder = None;
-        planner.pass(400);
-        assert!(planner.holds());
+        planner.advance_ms(400);
+        assert!(planner.holds_lease());
         let others = names.iter().enumerate().skip(1);
         let mut routers: BTreeMap<_, _> = others
             .map(|(n, id)| {
@@ -93,7 +93,7 @@
                 (addr(2_000 + n as u16), router)
             })
             .collect();
-        planner.take();
+        planner.take_effects();
         let (id, mut entry) = open_group("g", [1, 2, 3]).remove(0);
         entry.leaving = true;
         entry.beats = 9;
@@ -101,8 +101,8 @@
             at: at(FENCE + 1),
             changes: vec![(id.clone(), Some(entry))],
         });
-        planner.pass(60);
-        let first = planner.said();
+        planner.advance_ms(60);
+        let first = planner.sent_messages();
         let most = deliver_all(&mut routers, first);
         assert!(most <= 3 * 16, "{count} routers: {most} datagrams of one");
         let has_update = |r: &mut Router| r.state().endpoints[&id].entry.leaving;
@@ -117,9 +117,9 @@
 #[test]
 fn digests_suspend_reading_until_none_arrives() {
     let mut router = follower();
-    router.pass(100);
+    router.advance_ms(100);
     assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE - 1, FENCE + 3, vec![leaving()]),
     );
@@ -129,27 +129,27 @@
         !effects.iter().any(|e| matches!(e, DirectEffect::Run(_))),
         "its head leaves"
     );
-    router.pass(1_300);
+    router.advance_ms(1_300);
     assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
 }
 
 #[test]
 fn a_missed_update_makes_the_router_read_the_list() {
     let mut router = follower();
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     // Its updates begin after a revision that this router hasn't reached.
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE + 1, FENCE + 3, vec![leaving()]),
     );
     assert_eq!(pace(&mut router), Some((ListPace::Slow, true)));
     let mut cut = digest(2, FENCE, FENCE + 4, Vec::new());
     cut.whole = false;
-    hear(&mut router, cut);
-    router.pass(100);
+    receive_digest(&mut router, cut);
+    router.advance_ms(100);
     assert_eq!(pace(&mut router), None, "the list is still read");
-    hear(&mut router, digest(3, FENCE, FENCE + 4, Vec::new()));
+    receive_digest(&mut router, digest(3, FENCE, FENCE + 4, Vec::new()));
     assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
 }
 
@@ -165,19 +165,22 @@
         at: at(FENCE + 5),
         entries: Vec::new(),
     });
-    fresh.pass(400);
-    assert!(fresh.holds());
+    fresh.advance_ms(400);
+    assert!(fresh.holds_lease());
     let peers = [(InstanceId::new("r1"), addr(2_001))];
     fresh.state().peers = peers.into_iter().collect();
-    fresh.pass(60);
-    let digests = fresh.said().into_iter().filter_map(|(_, m)| match m {
-        PeerMessage::Digest(digest) => Some(*digest),
-        _ => None,
-    });
+    fresh.advance_ms(60);
+    let digests = fresh
+        .sent_messages()
+        .into_iter()
+        .filter_map(|(_, m)| match m {
+            PeerMessage::Digest(digest) => Some(*digest),
+            _ => None,
+        });
     let digests: Vec<_> = digests.collect();
     assert!(!digests.is_empty(), "it plans and sends digests");
     for digest in digests {
-        hear(&mut router, digest);
+        receive_digest(&mut router, digest);
     }
     assert_eq!(pace(&mut router), Some((ListPace::Slow, true)), "it reads");
 }
@@ -185,29 +188,29 @@
 #[test]
 fn a_newer_routing_is_read_at_once() {
     let mut router = follower();
-    router.pass(100);
-    hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
+    router.advance_ms(100);
+    receive_digest(&mut router, digest(1, FENCE, FENCE, Vec::new()));
     assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     let mut newer = digest(2, FENCE, FENCE, Vec::new());
     newer.routing = 2;
-    hear(&mut router, newer.clone());
+    receive_digest(&mut router, newer.clone());
     assert_eq!(pace(&mut router), Some((ListPace::Paused, false)));
     router.tell(DirectEvent::Routing(std::sync::Arc::new(routing(2))));
     newer.number = 3;
-    hear(&mut router, newer);
+    receive_digest(&mut router, newer);
     assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
 }
 
 #[test]
 fn a_digest_of_an_old_reading_suspends_no_reading() {
     let mut router = follower();
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     let mut old = digest(1, FENCE, FENCE, Vec::new());
     old.list_age = 1_500;
     old.routing_age = 1_500;
-    hear(&mut router, old);
-    router.pass(20);
+    receive_digest(&mut router, old);
+    router.advance_ms(20);
     assert_eq!(pace(&mut router), None, "both are read as before");
 }
 
@@ -215,14 +218,14 @@
 /// the routing, and the ages in the digests that it forwards.
 fn after_a_wait(me: &InstanceId, ms: u64, tick: bool) -> (bool, Vec<u64>) {
     let mut router = Router::named(me.as_str(), &names(40), open_group("g", [1, 2, 3]));
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     router.now += ms;
     if tick {
         router.feed(runrail::logic::Event::Tick);
     }
-    hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
-    let effects = router.take();
+    receive_digest(&mut router, digest(1, FENCE, FENCE, Vec::new()));
+    let effects = router.take_effects();
     let held = |e: &DirectEffect| matches!(e, DirectEffect::SetReadPace { hold: true, .. });
     let ages = effects.iter().filter_map(|e| match e {
         DirectEffect::SendMessage {
@@ -256,16 +259,16 @@
 fn digests_of_an_earlier_planner_and_repeated_ones_are_left_aside() {
     let mut router = follower();
     let mut old = digest(5, FENCE, FENCE + 1, vec![leaving()]);
-    hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
+    receive_digest(&mut router, digest(1, FENCE, FENCE, Vec::new()));
     old.fence -= 1;
-    hear(&mut router, old);
+    receive_digest(&mut router, old);
     assert_eq!(run(&router.ask(1, "/stream/x")).to.as_str(), "e1");
     let (id, _) = plain(1);
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE, FENCE + 1, vec![EndpointUpdate::Gone(id)]),
     );
-    let effects = router.take();
+    let effects = router.take_effects();
     assert!(!effects
         .iter()
         .any(|e| matches!(e, DirectEffect::SendMessage { .. })));
@@ -275,12 +278,12 @@
 fn an_update_older_than_what_was_read_changes_nothing() {
     let mut router = follower();
     let (id, entry) = engine(1, None);
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE - 2, FENCE, vec![EndpointUpdate::Gone(id.clone())]),
     );
     assert!(router.state().endpoints[&id].listed);
-    hear(
+    receive_digest(
         &mut router,
         digest(
             2,
@@ -302,7 +305,7 @@
 fn a_head_open_by_its_own_report_is_sent_in_digests_before_the_list_shows_it() {
     let mut router = Router::named("r1", &names(2), (1..=3).map(|n| engine(n, None)).collect());
     let (id, entry) = open_group("g", [1, 2, 3]).remove(0);
-    hear(
+    receive_digest(
         &mut router,
         digest(
             1,
@@ -321,7 +324,7 @@
     let joining = |n: u16| engine(n, seat("g", usize::from(n) - 1, SeatState::Joining));
     let mut router = Router::named("r1", &names(2), (1..=3).map(joining).collect());
     let (id, entry) = open_group("g", [1, 2, 3]).remove(0);
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE, FENCE + 1, vec![change_of(&id, &entry)]),
     );
@@ -337,18 +340,18 @@
         (at(FENCE + 1), EndpointUpdate::Listed(id.clone(), entry)),
         (at(FENCE + 2), EndpointUpdate::Gone(id.clone())),
     ];
-    hear(&mut router, twice.clone());
+    receive_digest(&mut router, twice.clone());
     twice.number = 2;
-    hear(&mut router, twice);
+    receive_digest(&mut router, twice);
     assert!(!router.state().endpoints[&id].listed);
 }
 
 #[test]
 fn a_store_answer_older_than_the_digests_is_read_again() {
     let mut router = follower();
-    router.pass(100);
+    router.advance_ms(100);
     let (id, _) = engine(1, None);
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE, FENCE + 9, vec![EndpointUpdate::Gone(id.clone())]),
     );
@@ -365,7 +368,7 @@
 fn a_new_plain_endpoint_is_sent_with_its_whole_entry() {
     let mut router = follower();
     let (id, entry) = plain(1);
-    hear(
+    receive_digest(
         &mut router,
         digest(
             1,
@@ -380,15 +383,19 @@
 #[test]
 fn each_router_that_hears_of_a_recovered_store_tries_it() {
     let mut router = Router::named("r1", &names(9), open_group("g", [1, 2, 3]));
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::StoreBack);
-    let notified: BTreeSet<_> = router.said().into_iter().map(|(to, _)| to).collect();
+    let notified: BTreeSet<_> = router
+        .sent_messages()
+        .into_iter()
+        .map(|(to, _)| to)
+        .collect();
     assert_eq!(notified.len(), 3);
     router.tell(DirectEvent::PeerMessage {
         from: addr(2_000),
         message: PeerMessage::StoreBack,
     });
-    assert_eq!(router.take(), vec![DirectEffect::RetryStore]);
+    assert_eq!(router.take_effects(), vec![DirectEffect::RetryStore]);
 }
 
 /// When the digests end, reading goes on from the last one, so that the loss of a planner doesn't
@@ -396,18 +403,18 @@
 #[test]
 fn a_router_that_relied_on_digests_reads_the_whole_list_before_it_plans() {
     let mut router = follower();
-    router.pass(100);
-    hear(&mut router, digest(1, FENCE, FENCE, Vec::new()));
-    router.pass(1_300);
-    router.take();
+    router.advance_ms(100);
+    receive_digest(&mut router, digest(1, FENCE, FENCE, Vec::new()));
+    router.advance_ms(1_300);
+    router.take_effects();
     router.state().plan.lease.holder = None;
     router.tell(DirectEvent::ListChanges {
         at: at(FENCE + 1),
         changes: Vec::new(),
     });
-    router.pass(600);
-    assert!(router.holds());
-    assert!(router.take().contains(&DirectEffect::ReadList));
+    router.advance_ms(600);
+    assert!(router.holds_lease());
+    assert!(router.take_effects().contains(&DirectEffect::ReadList));
 }
 
 #[test]
@@ -419,12 +426,12 @@
         requests: 2_500_000,
         ..ModelDemand::none(&MODEL.into())
     }];
-    hear(&mut router, received);
-    router.take();
+    receive_digest(&mut router, received);
+    router.take_effects();
     router.state().plan.lease.holder = None;
-    router.pass(1_000);
-    assert!(router.holds());
-    let mut sent = router.said().into_iter();
+    router.advance_ms(1_000);
+    assert!(router.holds_lease());
+    let mut sent = router.sent_messages().into_iter();
     let sum = sent.find_map(|(_, m)| match m {
         PeerMessage::Digest(digest) => Some((digest.told, digest.demand[0].requests)),
         _ => None,
@@ -443,17 +450,17 @@
         requests: 1,
         ..ModelDemand::none(&MODEL.into())
     }];
-    hear(&mut router, received);
+    receive_digest(&mut router, received);
     assert!(router.state().plan.has_traffic);
 }
 
 #[test]
 fn an_update_of_an_unknown_endpoint_makes_the_router_read_the_list() {
     let mut router = follower();
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     let (id, entry) = engine(77, None);
-    hear(
+    receive_digest(
         &mut router,
         digest(1, FENCE, FENCE + 1, vec![change_of(&id, &entry)]),
     );
@@ -469,8 +476,8 @@
     let entries = || (1..=24).map(|n| engine(n, None)).collect::<Vec<_>>();
     let mut planner = Router::named("r0", &names(2), entries());
     planner.state().plan.lease.holder = None;
-    planner.pass(400);
-    planner.take();
+    planner.advance_ms(400);
+    planner.take_effects();
     for n in 1..=14u16 {
         let (id, mut entry) = entries().remove(usize::from(n) - 1);
         entry.leaving = true;
@@ -480,9 +487,9 @@
             changes: vec![(id, Some(entry))],
         });
     }
-    planner.pass(60);
+    planner.advance_ms(60);
     let mut router = Router::named("r1", &names(2), entries());
-    let sent = planner.said();
+    let sent = planner.sent_messages();
     for (_, message) in sent {
         router.tell(DirectEvent::PeerMessage {
             from: addr(2_000),
@@ -517,19 +524,19 @@
 fn a_digest_with_all_the_updates_that_it_may_hold_fits_a_datagram() {
     let mut planner = Router::named("r0", &names(2), Vec::new());
     planner.state().plan.lease.holder = None;
-    planner.pass(400);
+    planner.advance_ms(400);
     let named = |n| {
         let (id, entry) = longest_entry();
         (InstanceId::new(&format!("{id}-{n}")), Some(entry))
     };
-    planner.take();
+    planner.take_effects();
     planner.tell(DirectEvent::ListChanges {
         at: at(FENCE + 1),
         changes: (0..40).map(named).collect(),
     });
-    planner.pass(60);
+    planner.advance_ms(60);
     let mut cut = 0;
-    for (_, message) in planner.said() {
+    for (_, message) in planner.sent_messages() {
         let mut bytes = Vec::new();
         ciborium::into_writer(&message, &mut bytes).expect("encoded");
         assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
@@ -547,7 +554,7 @@
 fn longest_datagrams(count: usize) -> [usize; 3] {
     let mut planner = Router::named("r0", &names(2), Vec::new());
     planner.state().plan.lease.holder = None;
-    planner.pass(400);
+    planner.advance_ms(400);
     let named = |entry: &Option<EndpointEntry>| -> Vec<_> {
         let (id, _) = longest_entry();
         let name = |n| InstanceId::new(&format!("{id}-{n}"));
@@ -560,8 +567,8 @@
     leaving.beats += 1;
     let mut revision = 1 << 40;
     [Some(entry), Some(leaving), None].map(|entry| {
-        planner.pass(1_300);
-        planner.take();
+        planner.advance_ms(1_300);
+        planner.take_effects();
         revision += 1;
         let at = StorePosition {
             era: 1 << 20,
@@ -571,8 +578,8 @@
             at,
             changes: named(&entry),
         });
-        planner.pass(60);
-        let sent = planner.said().into_iter();
+        planner.advance_ms(60);
+        let sent = planner.sent_messages().into_iter();
         let sizes = sent.map(|(_, message)| {
             let mut bytes = Vec::new();
             ciborium::into_writer(&message, &mut bytes).expect("encoded");
--- a/tests/direct/fixture.rs
+++ b/tests/direct/fixture.rs
@@ -25,9 +25,9 @@
 pub struct Router {
     node: Node,
     pub now: u64,
-    pub done: Vec<Effect>,
+    pub effects: Vec<Effect>,
     /// Entries that a read of runrail's keys in the key-value service returns.
-    pub kept: Vec<StoreEntry>,
+    pub store_entries: Vec<StoreEntry>,
     /// Whether a requested check of the routing is answered at once.
     pub checks: bool,
 }
@@ -64,8 +64,8 @@
         Self {
             node: Node::Direct(Box::new(state)),
             now: 1_000,
-            done: Vec::new(),
-            kept: Vec::new(),
+            effects: Vec::new(),
+            store_entries: Vec::new(),
             checks: true,
         }
     }
@@ -97,12 +97,12 @@
     pub fn planner(entries: Vec<(InstanceId, EndpointEntry)>) -> Self {
         let mut router = Self::new(entries);
         router.state().plan.has_traffic = true;
-        router.pass(400);
-        assert!(router.holds(), "the planner lease was not taken");
+        router.advance_ms(400);
+        assert!(router.holds_lease(), "the planner lease was not taken");
         router
     }
 
-    pub fn holds(&mut self) -> bool {
+    pub fn holds_lease(&mut self) -> bool {
         let now = self.now;
         self.state().plan.lease.holds(now)
     }
@@ -122,7 +122,7 @@
                 let reply = match op {
                     StoreCall::Read { .. } => StoreReply::Entries {
                         revision: 1,
-                        entries: self.kept.clone(),
+                        entries: self.store_entries.clone(),
                     },
                     StoreCall::Transaction { .. } => StoreReply::Transaction {
                         done: true,
@@ -151,7 +151,7 @@
                     read_number: *read_number,
                 }));
             }
-            self.done.push(effect);
+            self.effects.push(effect);
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Advances the clock by `ms` milliseconds, with a tick every 20 ms.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 20).min(end);
@@ -168,9 +168,10 @@
         }
     }
 
-    pub fn take(&mut self) -> Vec<DirectEffect> {
-        let done = std::mem::take(&mut self.done);
-        done.into_iter()
+    pub fn take_effects(&mut self) -> Vec<DirectEffect> {
+        let effects = std::mem::take(&mut self.effects);
+        effects
+            .into_iter()
             .filter_map(|e| match e {
                 Effect::Direct(effect) => Some(effect),
                 _ => None,
@@ -179,8 +180,8 @@
     }
 
     /// Takes the messages that were sent to other routers, and drops the other effects.
-    pub fn said(&mut self) -> Vec<(SocketAddr, PeerMessage)> {
-        let messages = self.take().into_iter().filter_map(|e| match e {
+    pub fn sent_messages(&mut self) -> Vec<(SocketAddr, PeerMessage)> {
+        let messages = self.take_effects().into_iter().filter_map(|e| match e {
             DirectEffect::SendMessage { to, message } => Some((to, message)),
             _ => None,
         });
@@ -193,14 +194,14 @@
     }
 
     pub fn ask_for(&mut self, request: DirectRequest) -> Vec<DirectEffect> {
-        self.take();
+        self.take_effects();
         self.tell(DirectEvent::Request(Box::new(request)));
-        self.take()
+        self.take_effects()
     }
 
     pub fn part(&mut self, run: u64, part: RunPart) -> Vec<DirectEffect> {
         self.tell(DirectEvent::RunPart { run, part });
-        self.take()
+        self.take_effects()
     }
 
     pub fn change(&mut self, id: &str, entry: Option<EndpointEntry>) {
@@ -211,7 +212,7 @@
         });
     }
 
-    pub fn looked(&mut self, id: &str, result: ProbeResult) {
+    pub fn answer_probe(&mut self, id: &str, result: ProbeResult) {
         let id = InstanceId::new(id);
         self.tell(DirectEvent::Probed { id, result });
     }
@@ -219,7 +220,7 @@
     /// Takes the effects, and returns the groups of more than one member that endpoints were
     /// ordered to join, with their members.
     pub fn joins(&mut self) -> Vec<(String, Vec<String>)> {
-        let effects = self.take();
+        let effects = self.take_effects();
         let mut joins: Vec<(String, Vec<String>)> = Vec::new();
         for effect in effects {
             if let Some((_, _, GroupStep::Join { group, members, .. })) = order(&effect) {
@@ -317,7 +318,7 @@
             asked.model = Some((*model).into());
             asked.prompt_tokens = 1_000;
             router.tell(DirectEvent::Request(Box::new(asked)));
-            let sent = router.take().into_iter().find_map(|e| match e {
+            let sent = router.take_effects().into_iter().find_map(|e| match e {
                 DirectEffect::Run(run) => Some(run.run),
                 _ => None,
             });
@@ -331,9 +332,9 @@
                 );
             }
         }
-        router.pass(500);
+        router.advance_ms(500);
     }
-    router.take();
+    router.take_effects();
 }
 
 /// Routes `/stream/`, `/once/` and `/safe/`, a model of three instances and one of two.
@@ -457,7 +458,7 @@
     }
 }
 
-pub fn hear(router: &mut Router, digest: Digest) {
+pub fn receive_digest(router: &mut Router, digest: Digest) {
     router.tell(DirectEvent::PeerMessage {
         from: addr(2_000),
         message: PeerMessage::Digest(Box::new(digest)),
@@ -467,7 +468,7 @@
 /// Takes the effects, and returns the last one that set how the store is read: the pace of the
 /// list, and whether reads of the routing are held.
 pub fn pace(router: &mut Router) -> Option<(ListPace, bool)> {
-    let reads = router.take().into_iter().filter_map(|e| match e {
+    let reads = router.take_effects().into_iter().filter_map(|e| match e {
         DirectEffect::SetReadPace { list, hold, .. } => Some((list, hold)),
         _ => None,
     });
--- a/tests/direct/foreign.rs
+++ b/tests/direct/foreign.rs
@@ -57,9 +57,9 @@
         entries.push((id, entry));
     }
     let mut router = Router::planner(entries);
-    router.pass(8_000);
+    router.advance_ms(8_000);
     let foreign = |id: &str| id == "e20" || id == "e21";
-    let effects = router.take();
+    let effects = router.take_effects();
     let orders: Vec<_> = effects.iter().filter_map(order).collect();
     assert!(orders.iter().all(|(_, id, _)| !foreign(id)), "{orders:?}");
     let known = router
--- a/tests/direct/idle.rs
+++ b/tests/direct/idle.rs
@@ -8,11 +8,11 @@
 /// A group of three that has lost a member and has ended: its head has left as ordered.
 fn two_survivors() -> Router {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
-    router.take();
-    router.looked("e3", ProbeResult::Silent);
-    router.looked("e3", ProbeResult::Silent);
-    router.pass(60);
-    let left = router.take().iter().find_map(|e| match order(e) {
+    router.take_effects();
+    router.answer_probe("e3", ProbeResult::Silent);
+    router.answer_probe("e3", ProbeResult::Silent);
+    router.advance_ms(60);
+    let left = router.take_effects().iter().find_map(|e| match order(e) {
         Some((n, _, GroupStep::Leave { .. })) => Some(n),
         _ => None,
     });
@@ -37,13 +37,13 @@
 #[test]
 fn remaining_members_of_an_ended_group_are_ordered_once_to_leave_it() {
     let mut router = two_survivors();
-    router.pass(600);
+    router.advance_ms(600);
     assert!(
-        freed(&router.take()).is_empty(),
+        freed(&router.take_effects()).is_empty(),
         "they may be needed at once"
     );
-    router.pass(2_000);
-    let mut freed = freed(&router.take());
+    router.advance_ms(2_000);
+    let mut freed = freed(&router.take_effects());
     freed.sort();
     assert_eq!(freed, ["e1", "e2"], "the lost one gets no order");
 }
@@ -51,9 +51,9 @@
 #[test]
 fn an_idle_endpoint_is_logged_once_with_its_reason_and_counted() {
     let mut router = two_survivors();
-    router.pass(3_000);
+    router.advance_ms(3_000);
     let events: Vec<String> = router
-        .done
+        .effects
         .iter()
         .filter_map(|e| match e {
             Effect::Log(event) if event.code == LogCode::EndpointIdle => Some(event.to_string()),
--- a/tests/direct/lag.rs
+++ b/tests/direct/lag.rs
@@ -30,20 +30,20 @@
     let spares = || (1..=3).map(|n| engine(n, None)).collect();
     list(&mut router, FENCE - 1, spares());
     router.state().plan.has_traffic = true;
-    router.pass(600);
-    assert!(router.holds());
-    let effects = router.take();
+    router.advance_ms(600);
+    assert!(router.holds_lease());
+    let effects = router.take_effects();
     assert!(effects.contains(&DirectEffect::ReadList));
     assert_eq!(joins(&effects), 0, "others may have placed them");
     list(&mut router, FENCE, spares());
-    router.pass(100);
-    assert_eq!(joins(&router.take()), 3);
+    router.advance_ms(100);
+    assert_eq!(joins(&router.take_effects()), 3);
 }
 
 #[test]
 fn a_seat_in_an_opened_group_overrides_a_lagging_entry() {
     let mut router = Router::planner((1..=3).map(|n| engine(n, None)).collect());
-    let effects = router.take();
+    let effects = router.take_effects();
     let group = effects.iter().find_map(|e| match order(e) {
         Some((_, _, GroupStep::Join { group, epoch, .. })) => Some((group.clone(), *epoch)),
         _ => None,
@@ -64,15 +64,15 @@
             router.change(id.as_str(), Some(entry));
         }
     }
-    router.pass(300);
-    router.take();
+    router.advance_ms(300);
+    router.take_effects();
     let (id, entry) = engine(3, None);
     router.change(id.as_str(), Some(entry));
-    router.pass(2_000);
+    router.advance_ms(2_000);
     // An order to load a model to a member's host is allowed.
     let changes_groups =
         |e: &DirectEffect| order(e).is_some_and(|o| !matches!(o.2, GroupStep::Stage { .. }));
-    let effects = router.take();
+    let effects = router.take_effects();
     assert!(
         !effects.iter().any(changes_groups),
         "e3 is in the group: {effects:?}"
--- a/tests/direct/limits.rs
+++ b/tests/direct/limits.rs
@@ -13,15 +13,15 @@
         runs.push(run(&router.ask(id, "/stream/x")).run);
     }
     for run in runs.drain(..20) {
-        router.pass(200);
+        router.advance_ms(200);
         router.part(run, RunPart::Head);
     }
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::Request(Box::new(request(100, "/stream/x"))));
-    let held = router.take();
+    let held = router.take_effects();
     assert!(held.is_empty(), "it waits first: {held:?}");
-    router.pass(1_300);
-    let effects = router.take();
+    router.advance_ms(1_300);
+    let effects = router.take_effects();
     let refused = |e: &DirectEffect| {
         let problem = problem(std::slice::from_ref(e));
         let matches_id = matches!(e, DirectEffect::Refuse { request: 100, .. });
@@ -47,9 +47,13 @@
         router.ask(id, "/stream/x");
     }
     router.tell(short_deadline(100));
-    assert_eq!(run(&router.take()).priority, 2, "the priority of any other");
+    assert_eq!(
+        run(&router.take_effects()).priority,
+        2,
+        "the priority of any other"
+    );
     router.tell(short_deadline(101));
-    assert!(router.take().is_empty(), "48 of 48");
+    assert!(router.take_effects().is_empty(), "48 of 48");
 }
 
 #[test]
@@ -96,7 +100,7 @@
         router.tell(DirectEvent::Request(Box::new(request)));
     }
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
-    sent += router.take().iter().filter(|e| runs(e)).count();
+    sent += router.take_effects().iter().filter(|e| runs(e)).count();
     // 60 % of a pause of 300 ms at 50 tokens per ms are 9,000 tokens, twice that for one router.
     assert_eq!(sent, 3);
 }
@@ -117,7 +121,7 @@
 fn send_requests(router: &mut Router, count: u64, took: u64) {
     for n in 0..count {
         let sent = run(&router.ask(1_000 + n, "/stream/x")).run;
-        router.pass(took);
+        router.advance_ms(took);
         router.part(sent, RunPart::Head);
         router.part(sent, RunPart::End);
     }
--- a/tests/direct/needs.rs
+++ b/tests/direct/needs.rs
@@ -8,9 +8,9 @@
 /// Groups that the large and the small model need, as the planner logs them.
 fn needs(router: &mut Router) -> Vec<f64> {
     router.state().plan.needs_due = 0;
-    router.done.clear();
-    router.pass(100);
-    let events = router.done.iter().filter_map(|e| match e {
+    router.effects.clear();
+    router.advance_ms(100);
+    let events = router.effects.iter().filter_map(|e| match e {
         runrail::logic::Effect::Log(event) if event.code.number() == 638 => Some(event),
         _ => None,
     });
--- a/tests/direct/pauses.rs
+++ b/tests/direct/pauses.rs
@@ -34,7 +34,7 @@
     let mut router = Router::new(open_group("g1", [1, 2, 3]));
     let paused = ask_after_pause(&mut router, "/new/x");
     assert_eq!(problem(&paused), None);
-    router.take();
+    router.take_effects();
     let mut newer = routing(2);
     let mut route = newer
         .route("a.example", "/safe/x")
@@ -45,7 +45,7 @@
     newer.add_route("a.example", route);
     router.tell(DirectEvent::Routing(Arc::new(newer)));
     finish_read(&mut router, &paused);
-    assert_ne!(problem(&router.take()), Some(Problem::NoRoute));
+    assert_ne!(problem(&router.take_effects()), Some(Problem::NoRoute));
 }
 
 /// Guards against ending the wait on an answer to an older read: one that was on its way
@@ -54,12 +54,12 @@
 fn an_answer_of_before_the_pause_does_not_end_the_wait() {
     let mut router = Router::new(open_group("g1", [1, 2, 3]));
     let paused = ask_after_pause(&mut router, "/stream/x");
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::RoutingChecked { read_number: 0 });
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
-    assert!(!router.take().iter().any(runs));
+    assert!(!router.take_effects().iter().any(runs));
     finish_read(&mut router, &paused);
-    assert!(router.take().iter().any(runs));
+    assert!(router.take_effects().iter().any(runs));
 }
 
 /// Requests must not wait for ever if the store is unreachable as well.
@@ -67,12 +67,12 @@
 fn callers_are_served_by_the_routing_as_known_where_it_cannot_be_read() {
     let mut router = Router::new(open_group("g1", [1, 2, 3]));
     ask_after_pause(&mut router, "/stream/x");
-    router.done.clear();
-    router.pass(1_100);
+    router.effects.clear();
+    router.advance_ms(1_100);
     let unchecked = |e: &Effect| matches!(e, Effect::Log(n) if n.code == LogCode::RoutingUnchecked);
-    assert!(router.done.iter().any(unchecked));
+    assert!(router.effects.iter().any(unchecked));
     let runs = |e: &DirectEffect| matches!(e, DirectEffect::Run(_));
-    assert!(router.take().iter().any(runs));
+    assert!(router.take_effects().iter().any(runs));
     let after = router.ask_for(request(2, "/stream/x"));
     assert!(after.iter().any(runs));
 }
@@ -86,5 +86,5 @@
         router.feed(Event::Tick);
     }
     let reads = |e: &DirectEffect| matches!(e, DirectEffect::ReadRouting { .. });
-    assert!(!router.take().iter().any(reads));
+    assert!(!router.take_effects().iter().any(reads));
 }
--- a/tests/direct/planner_lease.rs
+++ b/tests/direct/planner_lease.rs
@@ -20,21 +20,21 @@
 fn the_planner_lease_ends_when_another_router_holds_it_and_is_acquired_when_it_is_free() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     set_holder(&mut router, Some("r2"));
-    router.pass(100);
-    assert!(!router.holds());
-    router.pass(2_000);
-    assert!(!router.holds(), "another router holds the lease");
+    router.advance_ms(100);
+    assert!(!router.holds_lease());
+    router.advance_ms(2_000);
+    assert!(!router.holds_lease(), "another router holds the lease");
     set_holder(&mut router, None);
-    router.pass(200);
-    assert!(router.holds());
+    router.advance_ms(200);
+    assert!(router.holds_lease());
 }
 
 #[test]
 fn a_router_takes_over_from_an_earlier_process_of_its_own() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     set_holder(&mut router, Some("r1"));
-    router.pass(200);
-    assert!(router.holds());
+    router.advance_ms(200);
+    assert!(router.holds_lease());
 }
 
 #[test]
--- a/tests/direct/queue.rs
+++ b/tests/direct/queue.rs
@@ -45,10 +45,10 @@
 fn what_comes_before_a_router_knows_anything_is_served_once_it_does() {
     let mut router = Router::bare();
     router.ask(1, "/stream/x");
-    router.pass(300);
-    assert_eq!(problem(&router.take()), None, "it waits");
+    router.advance_ms(300);
+    assert_eq!(problem(&router.take_effects()), None, "it waits");
     make_ready(&mut router);
-    let sent = run(&router.take());
+    let sent = run(&router.take_effects());
     assert_eq!(sent.request, 1);
     assert!(sent.wait_ms <= 4_700, "its time runs: {}", sent.wait_ms);
 }
@@ -59,7 +59,7 @@
     router.ask(1, "/stream/x");
     router.tell(DirectEvent::CallerGone(1));
     make_ready(&mut router);
-    assert!(sent(&router.take()).is_empty());
+    assert!(sent(&router.take_effects()).is_empty());
 }
 
 #[test]
@@ -78,7 +78,7 @@
 fn requests_in_time_go_before_late_ones() {
     let (mut router, runs) = full_head();
     assert!(router.ask(100, "/stream/x").is_empty());
-    router.pass(200);
+    router.advance_ms(200);
     assert!(router.ask(101, "/stream/x").is_empty());
     let order: Vec<u64> = runs
         .into_iter()
@@ -91,7 +91,7 @@
 fn late_requests_leave_room_for_requests_in_time() {
     let (mut router, runs) = full_head();
     assert!(router.ask(100, "/stream/x").is_empty());
-    router.pass(200);
+    router.advance_ms(200);
     let mut left = 48;
     for run in runs {
         left -= 1;
@@ -110,14 +110,21 @@
     for id in 100..104 {
         assert!(router.ask(id, "/stream/x").is_empty(), "{id} waits");
     }
-    router.pass(1_200);
-    assert!(refused(&router.take()).is_empty(), "for a quarter of 5 s");
-    router.pass(100);
-    assert_eq!(refused(&router.take()), [100, 101, 102, 103]);
+    router.advance_ms(1_200);
+    assert!(
+        refused(&router.take_effects()).is_empty(),
+        "for a quarter of 5 s"
+    );
+    router.advance_ms(100);
+    assert_eq!(refused(&router.take_effects()), [100, 101, 102, 103]);
     router.ask(105, "/stream/x");
     router.ask(112, "/stream/x");
-    router.pass(80);
-    assert_eq!(refused(&router.take()), [105], "after a sixth of 400 ms");
+    router.advance_ms(80);
+    assert_eq!(
+        refused(&router.take_effects()),
+        [105],
+        "after a sixth of 400 ms"
+    );
 }
 
 #[test]
@@ -146,11 +153,11 @@
     };
     let effects = router.part(last, whole);
     assert!(refused(&effects).is_empty(), "{effects:?}");
-    router.pass(200);
-    assert!(sent(&router.take()).is_empty());
+    router.advance_ms(200);
+    assert!(sent(&router.take_effects()).is_empty());
     busy(&mut router, "e5", 0);
-    router.pass(20);
-    assert_eq!(sent(&router.take()), [100]);
+    router.advance_ms(20);
+    assert_eq!(sent(&router.take_effects()), [100]);
 }
 
 #[test]
@@ -159,9 +166,13 @@
     let mut short_deadline = request(100, "/stream/x");
     short_deadline.wait_ms = Some(400);
     router.tell(DirectEvent::Request(Box::new(short_deadline)));
-    assert!(router.take().is_empty());
-    router.pass(120);
-    assert_eq!(refused(&router.take()), [100], "a quarter of 400 ms");
+    assert!(router.take_effects().is_empty());
+    router.advance_ms(120);
+    assert_eq!(
+        refused(&router.take_effects()),
+        [100],
+        "a quarter of 400 ms"
+    );
 }
 
 #[test]
--- a/tests/direct/rates.rs
+++ b/tests/direct/rates.rs
@@ -110,7 +110,7 @@
     let mut second = all.pop().expect("a router");
     let mut first = all.pop().expect("a router");
     let forward_limits = |from: &mut Router, to: &mut Router| {
-        for (_, message) in from.said() {
+        for (_, message) in from.sent_messages() {
             if matches!(message, PeerMessage::Rate { .. }) {
                 let from = addr(2_000);
                 to.tell(DirectEvent::PeerMessage { from, message });
@@ -148,13 +148,13 @@
     answer_with_limit(&mut router, None, Some(5_000));
     answer_with_limit(&mut router, Some(older), None);
     let ends = |message: &PeerMessage| matches!(message, PeerMessage::Rate { rate: None, .. });
-    assert!(!router.said().iter().any(|(_, m)| ends(m)));
+    assert!(!router.sent_messages().iter().any(|(_, m)| ends(m)));
     router.now += 1_000;
     let newer = (10..14).map(|id| run(&router.ask(id, "/safe/x")));
     let newer: Vec<_> = newer.collect();
     let newer = newer.iter().find(|r| r.to.as_str() == LIMITED);
     answer_with_limit(&mut router, newer.map(|r| r.run), None);
-    assert!(router.said().iter().any(|(_, m)| ends(m)));
+    assert!(router.sent_messages().iter().any(|(_, m)| ends(m)));
 }
 
 /// Guards against requests that wait for an endpoint whose limit this router has no share of.
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -21,8 +21,8 @@
 
 /// Makes the planner find an endpoint lost.
 fn lose(router: &mut Router, id: &str) {
-    router.looked(id, ProbeResult::Silent);
-    router.looked(id, ProbeResult::Silent);
+    router.answer_probe(id, ProbeResult::Silent);
+    router.answer_probe(id, ProbeResult::Silent);
 }
 
 fn alive() -> ProbeResult {
@@ -45,10 +45,10 @@
 #[test]
 fn a_group_with_a_lost_member_leaves_first_and_is_formed_from_survivors_and_a_spare() {
     let mut router = Router::planner(fleet());
-    router.take();
+    router.take_effects();
     lose(&mut router, "e3");
-    router.pass(60);
-    let effects = router.take();
+    router.advance_ms(60);
+    let effects = router.take_effects();
     let left = leaves(&effects);
     assert_eq!(left.len(), 1, "{effects:?}");
     assert_eq!(left[0].1, "e1", "the head gets the order");
@@ -56,7 +56,7 @@
         |e| matches!(order(e), Some((_, _, GroupStep::Join { members, .. })) if members.len() > 1)
     ));
     router.answer_order(left[0].0, OrderResult::Done);
-    router.pass(60);
+    router.advance_ms(60);
     let joins = router.joins();
     assert_eq!(joins.len(), 1);
     assert_eq!(joins[0].1.len(), 3);
@@ -66,12 +66,12 @@
 #[test]
 fn an_outdated_order_to_leave_frees_nobody() {
     let mut router = Router::planner(fleet());
-    router.take();
+    router.take_effects();
     lose(&mut router, "e3");
-    router.pass(60);
-    let left = leaves(&router.take());
+    router.advance_ms(60);
+    let left = leaves(&router.take_effects());
     router.answer_order(left[0].0, OrderResult::Outdated);
-    router.pass(200);
+    router.advance_ms(200);
     assert!(
         router.joins().is_empty(),
         "another planner gives orders now"
@@ -95,7 +95,7 @@
         } => Some(*number),
         _ => None,
     };
-    router.take().iter().filter_map(number).collect()
+    router.take_effects().iter().filter_map(number).collect()
 }
 
 /// Another router reports its observation.
@@ -116,14 +116,14 @@
     ] {
         let mut router = Router::planner(fleet());
         add_peers(&mut router);
-        router.take();
-        router.looked("e1", ProbeResult::Refused);
+        router.take_effects();
+        router.answer_probe("e1", ProbeResult::Refused);
         let question_numbers = question_numbers(&mut router);
         for (n, number) in question_numbers.into_iter().enumerate() {
             let sight = if n == 3 { last } else { Observation::Refuses };
             report(&mut router, number, sight);
         }
-        router.pass(300);
+        router.advance_ms(300);
         assert_eq!(!router.joins().is_empty(), over, "{last:?}");
     }
 }
@@ -132,18 +132,18 @@
 fn a_head_that_still_works_keeps_its_members_for_as_long_as_an_orderly_end_takes() {
     let mut router = Router::planner(fleet());
     add_peers(&mut router);
-    router.take();
-    router.looked("e1", ProbeResult::Refused);
+    router.take_effects();
+    router.answer_probe("e1", ProbeResult::Refused);
     for number in question_numbers(&mut router) {
         report(&mut router, number, Observation::Alive);
     }
-    router.pass(2_500);
+    router.advance_ms(2_500);
     assert!(
-        leaves(&router.take()).is_empty(),
+        leaves(&router.take_effects()).is_empty(),
         "its streams need the members"
     );
-    router.pass(1_000);
-    assert!(!leaves(&router.take()).is_empty());
+    router.advance_ms(1_000);
+    assert!(!leaves(&router.take_effects()).is_empty());
 }
 
 /// A router's own runs show whether an endpoint that refuses connections has died: they
@@ -168,9 +168,9 @@
         };
         let from = addr(802);
         router.tell(DirectEvent::PeerMessage { from, message });
-        router.looked(sent.to.as_str(), ProbeResult::Refused);
+        router.answer_probe(sent.to.as_str(), ProbeResult::Refused);
         let is_reported = |e: &DirectEffect| matches!(e, DirectEffect::SendMessage { message: PeerMessage::Seen { sight, .. }, .. } if *sight == expected);
-        let effects = router.take();
+        let effects = router.take_effects();
         assert!(effects.iter().any(is_reported), "{expected:?}: {effects:?}");
     }
 }
@@ -181,7 +181,7 @@
     for agree in [true, false] {
         let mut router = Router::planner(fleet());
         add_peers(&mut router);
-        router.take();
+        router.take_effects();
         lose(&mut router, "e1");
         let question_numbers = question_numbers(&mut router);
         assert_eq!(question_numbers.len(), 4);
@@ -194,7 +194,7 @@
             };
             report(&mut router, number, sight);
         }
-        router.pass(200);
+        router.advance_ms(200);
         assert_eq!(!router.joins().is_empty(), agree);
     }
 }
@@ -203,21 +203,21 @@
 #[test]
 fn a_head_whose_stop_is_unconfirmed_counts_as_open_until_it_must_have_broken() {
     let mut router = Router::planner(fleet());
-    router.take();
+    router.take_effects();
     lose(&mut router, "e1");
-    router.pass(1_000);
-    let effects = router.take();
+    router.advance_ms(1_000);
+    let effects = router.take_effects();
     let orders = leaves(&effects);
     for member in ["e2", "e3"] {
         assert!(orders.iter().any(|(_, id)| id == member), "{orders:?}");
     }
-    router.pass(6_000);
+    router.advance_ms(6_000);
     assert!(router.joins().is_empty(), "nobody is known to have left");
     let (order, _) = orders[0];
     router.answer_order(order, OrderResult::Done);
-    router.pass(3_500);
+    router.advance_ms(3_500);
     assert!(router.joins().is_empty(), "the head may still be open");
-    router.pass(1_200);
+    router.advance_ms(1_200);
     assert!(!router.joins().is_empty());
 }
 
@@ -227,13 +227,13 @@
     let mut entries = fleet();
     entries.remove(0);
     let mut router = Router::planner(entries);
-    router.take();
-    router.pass(2_500);
+    router.take_effects();
+    router.advance_ms(2_500);
     assert!(router.joins().is_empty());
     let (id, head) = open_group("g", [1, 2, 3]).remove(0);
     router.change(id.as_str(), Some(head));
-    router.pass(300);
-    let orders = leaves(&router.take());
+    router.advance_ms(300);
+    let orders = leaves(&router.take_effects());
     assert!(
         orders.iter().any(|(_, id)| id == "e1"),
         "it is ordered to leave: {orders:?}"
@@ -244,14 +244,14 @@
 #[test]
 fn a_report_does_not_free_a_member_that_the_list_shows_in_an_open_group() {
     let mut router = Router::planner(fleet());
-    router.take();
+    router.take_effects();
     for id in ["e1", "e2", "e3"] {
-        router.looked(id, alive());
+        router.answer_probe(id, alive());
     }
-    router.pass(300);
+    router.advance_ms(300);
     assert!(router.joins().is_empty());
     let orders: Vec<_> = router
-        .take()
+        .take_effects()
         .iter()
         .filter_map(|e| order(e).map(|o| o.1))
         .collect();
@@ -266,17 +266,17 @@
         engine(3, seat("g", 2, SeatState::Ready)),
     ];
     let mut router = Router::planner(entries);
-    router.pass(300);
+    router.advance_ms(300);
     let opens = |effects: &[DirectEffect]| {
         let open = |e| matches!(order(e), Some((_, _, GroupStep::Open { .. })));
         effects.iter().filter(|e| open(e)).count()
     };
-    assert_eq!(opens(&router.take()), 0);
+    assert_eq!(opens(&router.take_effects()), 0);
     let (_, ready) = engine(2, seat("g", 1, SeatState::Ready));
     router.change("e2", Some(ready));
-    router.pass(60);
+    router.advance_ms(60);
     assert_eq!(
-        opens(&router.take()),
+        opens(&router.take_effects()),
         1,
         "another planner's group is finished"
     );
@@ -286,13 +286,13 @@
 fn an_endpoint_that_left_the_list_is_probed_before_its_group_is_changed() {
     let mut router = Router::planner(fleet());
     for id in ["e1", "e2", "e3"] {
-        router.looked(id, alive());
+        router.answer_probe(id, alive());
     }
-    router.pass(500);
-    router.take();
+    router.advance_ms(500);
+    router.take_effects();
     router.change("e2", None);
-    router.pass(60);
-    let effects = router.take();
+    router.advance_ms(60);
+    let effects = router.take_effects();
     assert!(leaves(&effects).is_empty());
     let is_probe =
         |e: &&DirectEffect| matches!(e, DirectEffect::Probe { id, .. } if id.as_str() == "e2");
@@ -302,12 +302,12 @@
 #[test]
 fn a_member_that_is_leaving_drains_its_group_before_it_is_given_up() {
     let mut router = Router::planner(fleet());
-    router.take();
+    router.take_effects();
     let (_, mut entry) = open_group("g", [1, 2, 3]).remove(1);
     entry.leaving = true;
     router.change("e2", Some(entry));
-    router.pass(60);
-    let effects = router.take();
+    router.advance_ms(60);
+    let effects = router.take_effects();
     let closes = |e: &&DirectEffect| matches!(order(e), Some((_, _, GroupStep::Close { .. })));
     assert_eq!(effects.iter().filter(closes).count(), 1);
     assert!(leaves(&effects).is_empty());
@@ -327,16 +327,16 @@
     };
     let from = addr(802);
     router.tell(DirectEvent::PeerMessage { from, message });
-    let effects = router.take();
+    let effects = router.take_effects();
     let is_probe = |e: &DirectEffect| matches!(e, DirectEffect::Probe { .. });
     assert!(effects.iter().any(is_probe), "{effects:?}");
-    router.looked("e1", ProbeResult::Silent);
+    router.answer_probe("e1", ProbeResult::Silent);
     let message = PeerMessage::Seen {
         number: 77,
         sight: Observation::Silent,
     };
     let reply = DirectEffect::SendMessage { to: from, message };
-    assert!(router.take().contains(&reply));
+    assert!(router.take_effects().contains(&reply));
 }
 
 /// Guards against a member of an open group that counts as free: it is cut off from the
@@ -351,7 +351,7 @@
         engine(5, None),
     ];
     let mut router = Router::planner(entries);
-    router.pass(100);
+    router.advance_ms(100);
     // The list shows the third member as it was before it joined.
     router.change("e3", Some(engine(3, None).1));
     let reported = seat("g", 2, SeatState::Ready);
@@ -360,10 +360,10 @@
         seat: reported,
         slowness: 1_000,
     };
-    router.looked("e3", reported);
-    router.take();
+    router.answer_probe("e3", reported);
+    router.take_effects();
     router.change("e1", Some(engine(1, seat("g", 0, SeatState::Open)).1));
-    router.pass(300);
+    router.advance_ms(300);
     assert!(router.joins().is_empty(), "it belongs to the open group");
 }
 
@@ -380,45 +380,45 @@
 #[test]
 fn a_group_that_another_planner_began_opens_only_with_every_member() {
     let mut router = Router::planner(joining(&[1, 2]));
-    router.take();
+    router.take_effects();
     for (rank, n) in [1, 2].into_iter().enumerate() {
         let (id, entry) = engine(n, seat("g", rank, SeatState::Ready));
         router.change(id.as_str(), Some(entry));
     }
-    router.pass(1_000);
+    router.advance_ms(1_000);
     let opens = |e: &DirectEffect| matches!(order(e), Some((_, _, GroupStep::Open { .. })));
     assert!(
-        !router.take().iter().any(opens),
+        !router.take_effects().iter().any(opens),
         "the third isn't listed yet"
     );
     let (id, entry) = engine(3, seat("g", 2, SeatState::Ready));
     router.change(id.as_str(), Some(entry));
-    router.pass(300);
-    assert!(router.take().iter().any(opens), "now all are ready");
+    router.advance_ms(300);
+    assert!(router.take_effects().iter().any(opens), "now all are ready");
 }
 
 #[test]
 fn a_group_whose_model_no_member_shows_yet_is_waited_for() {
     let mut router = Router::planner(joining(&[1, 2, 3]));
-    router.pass(3_000);
-    assert_eq!(leaves(&router.take()), [], "they load");
+    router.advance_ms(3_000);
+    assert_eq!(leaves(&router.take_effects()), [], "they load");
 }
 
 #[test]
 fn a_pause_of_a_working_head_has_its_group_probed_and_moves_nothing() {
     let mut router = Router::planner(fleet());
     for id in ["e1", "e2", "e3"] {
-        router.looked(id, alive());
+        router.answer_probe(id, alive());
     }
-    router.pass(500);
+    router.advance_ms(500);
     let effects = router.ask(1, "/stream/x");
     assert_eq!(run(&effects).to.as_str(), "e1");
-    router.pass(180);
+    router.advance_ms(180);
     let probed_id = |e: &DirectEffect| match e {
         DirectEffect::Probe { id, .. } => Some(id.to_string()),
         _ => None,
     };
-    let mut ids: Vec<_> = router.take().iter().filter_map(probed_id).collect();
+    let mut ids: Vec<_> = router.take_effects().iter().filter_map(probed_id).collect();
     ids.sort();
     assert_eq!(ids, ["e1", "e2", "e3"]);
     let effects = router.ask(2, "/stream/x");
@@ -449,13 +449,13 @@
     let mut router = Router::new(entries);
     router.tell(DirectEvent::Routing(Arc::new(routing_for_one_model())));
     router.state().plan.has_traffic = true;
-    router.pass(400);
-    router.take();
+    router.advance_ms(400);
+    router.take_effects();
     lose(&mut router, "e3");
-    router.pass(60);
-    let left = leaves(&router.take());
+    router.advance_ms(60);
+    let left = leaves(&router.take_effects());
     router.answer_order(left[0].0, OrderResult::Done);
-    router.pass(60);
+    router.advance_ms(60);
     let mut members = router.joins().remove(0).1;
     members.sort();
     assert_eq!(members, ["e1", "e2", "e5"], "e4 would load from its host");
@@ -481,12 +481,12 @@
     entries.extend(small_group("s", [11, 12]));
     entries.extend(small_group("t", [13, 14]));
     let mut router = Router::planner(entries);
-    router.take();
+    router.take_effects();
     lose(&mut router, "e3");
-    router.pass(60);
-    let left = leaves(&router.take());
+    router.advance_ms(60);
+    let left = leaves(&router.take_effects());
     router.answer_order(left[0].0, OrderResult::Done);
-    router.pass(200);
+    router.advance_ms(200);
     assert_eq!(
         router.joins(),
         [],
@@ -537,16 +537,16 @@
     router.state().plan.has_traffic = true;
     keep_busy(&mut router, 3.0, 7.0, 3);
     lose(&mut router, "e115");
-    router.pass(60);
-    let left = leaves(&router.take());
+    router.advance_ms(60);
+    let left = leaves(&router.take_effects());
     router.answer_order(left[0].0, OrderResult::Done);
-    router.pass(60);
-    let effects = router.take();
+    router.advance_ms(60);
+    let effects = router.take_effects();
     let closed = effects.iter().find_map(|e| match order(e) {
         Some((_, id, GroupStep::Close { .. })) => Some(id),
         _ => None,
     });
     assert_eq!(closed.as_deref(), Some("e200"), "{effects:?}");
-    router.pass(1_000);
+    router.advance_ms(1_000);
     assert_eq!(router.joins(), [], "the survivors wait for its members");
 }
--- a/tests/direct/restarts.rs
+++ b/tests/direct/restarts.rs
@@ -3,7 +3,9 @@
 use runrail::logic::direct::{Digest, DirectEffect, EndpointUpdate, GroupStep, ProbeResult};
 use runrail::types::{EndpointEntry, InstanceId};
 
-use crate::fixture::{at, empty_digest, engine, hear, open_group, order, plain, Router, FENCE};
+use crate::fixture::{
+    at, empty_digest, engine, open_group, order, plain, receive_digest, Router, FENCE,
+};
 
 /// When the endpoints of these tests first started, in Unix milliseconds.
 const STARTED_MS: u64 = 1_790_000_000_000;
@@ -51,7 +53,7 @@
         news,
         ..empty_digest(1, at(FENCE + 1))
     };
-    hear(&mut router, digest);
+    receive_digest(&mut router, digest);
     assert_eq!(router.state().endpoints[&id].entry, restarted(1));
     assert_eq!(
         sends_to(&router.ask(1, "/stream/x")),
@@ -89,10 +91,10 @@
 #[test]
 fn a_group_whose_head_has_started_again_is_formed_anew_at_once() {
     let mut router = Router::planner(fleet(1));
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     router.change("e1", Some(restarted(1)));
-    router.pass(200);
+    router.advance_ms(200);
     let joins = router.joins();
     assert!(!joins.is_empty(), "its members and the spare form a group");
 }
@@ -100,11 +102,11 @@
 #[test]
 fn a_group_whose_member_has_started_again_is_told_to_end() {
     let mut router = Router::planner(fleet(1));
-    router.pass(100);
-    router.take();
+    router.advance_ms(100);
+    router.take_effects();
     router.change("e3", Some(restarted(3)));
-    router.pass(200);
-    let effects = router.take();
+    router.advance_ms(200);
+    let effects = router.take_effects();
     let leaves = effects
         .iter()
         .any(|e| matches!(order(e), Some((_, id, GroupStep::Leave { .. })) if id == "e1"));
@@ -115,13 +117,13 @@
 #[test]
 fn a_report_after_a_restart_overrides_the_list() {
     let mut router = Router::planner(fleet(1));
-    router.pass(100);
+    router.advance_ms(100);
     let alive = ProbeResult::Alive {
         started_ms: Some(STARTED_MS + 30_000),
         seat: None,
         slowness: 1_000,
     };
-    router.looked("e1", alive);
+    router.answer_probe("e1", alive);
     let view = &router.state().endpoints[&InstanceId::new("e1")];
     assert_eq!((view.entry.seat.clone(), view.entry.beats), (None, 0));
 }
@@ -156,13 +158,13 @@
 #[test]
 fn a_start_time_in_a_report_alone_is_no_restart() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
-    router.pass(100);
+    router.advance_ms(100);
     let alive = ProbeResult::Alive {
         started_ms: Some(STARTED_MS),
         seat: None,
         slowness: 1_000,
     };
-    router.looked("e1", alive);
+    router.answer_probe("e1", alive);
     let view = &router.state().endpoints[&InstanceId::new("e1")];
     assert!(view.is_open_head());
 }
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -9,7 +9,7 @@
 use runrail::logic::{Effect, LogCode};
 use runrail::types::{InstanceId, StorePosition};
 
-use crate::fixture::{empty_digest, hear, open_group, pace, routing, Router, FENCE};
+use crate::fixture::{empty_digest, open_group, pace, receive_digest, routing, Router, FENCE};
 use testkit::direct::config;
 use testkit::direct::{fleet, logs, served, until};
 
@@ -88,7 +88,7 @@
 fn restored_planner() -> Router {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(0));
-    router.take();
+    router.take_effects();
     router.tell(DirectEvent::StoreEra(1));
     router
 }
@@ -97,14 +97,14 @@
 #[test]
 fn the_planner_lease_ends_when_the_store_is_restored() {
     let mut router = restored_planner();
-    assert!(!router.holds());
-    router.pass(1_500);
+    assert!(!router.holds_lease());
+    router.advance_ms(1_500);
     assert!(
-        !router.holds(),
+        !router.holds_lease(),
         "an earlier holder may still believe in its lease"
     );
-    router.pass(1_500);
-    assert!(router.holds());
+    router.advance_ms(1_500);
+    assert!(router.holds_lease());
 }
 
 /// Endpoints refuse a fence lower than the one they have seen, and groups an earlier epoch.
@@ -120,7 +120,7 @@
     };
     assert!(after > before && after.fence() > before.fence());
     let mut router = restored_planner();
-    router.pass(3_000);
+    router.advance_ms(3_000);
     assert!(router.state().plan.lease.fence > FENCE as u64);
 }
 
@@ -129,15 +129,15 @@
 fn a_router_that_starts_after_a_restore_waits_as_well() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(1));
-    router.kept.push(StoreEntry {
+    router.store_entries.push(StoreEntry {
         key: "runrail/planner/era".to_string(),
         value: "0".to_string(),
         revision: 1,
     });
-    router.pass(1_500);
-    assert!(!router.holds());
-    router.pass(1_500);
-    assert!(router.holds());
+    router.advance_ms(1_500);
+    assert!(!router.holds_lease());
+    router.advance_ms(1_500);
+    assert!(router.holds_lease());
 }
 
 /// Guards against digests about an earlier era that keep routers from reading the next one.
@@ -146,10 +146,10 @@
     let routers = ["r0", "r1"].map(InstanceId::new);
     let mut router = Router::named("r1", &routers, open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::StoreEra(0));
-    receive_digest(&mut router, 1, 0, FENCE);
+    receive_empty_digest(&mut router, 1, 0, FENCE);
     assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
     // Its sender already knows that the store was restored.
-    receive_digest(&mut router, 2, 1, 1);
+    receive_empty_digest(&mut router, 2, 1, 1);
     assert_eq!(pace(&mut router), Some((ListPace::Slow, false)));
     router.tell(DirectEvent::StoreEra(1));
     router.tell(DirectEvent::ListRead {
@@ -159,22 +159,22 @@
         },
         entries: open_group("g", [1, 2, 3]),
     });
-    receive_digest(&mut router, 3, 1, 2);
+    receive_empty_digest(&mut router, 3, 1, 2);
     assert_eq!(pace(&mut router), Some((ListPace::Paused, true)));
-    router.pass(1_300);
-    router.take();
+    router.advance_ms(1_300);
+    router.take_effects();
     // Another sender doesn't know that yet.
-    receive_digest(&mut router, 4, 0, FENCE + 900);
+    receive_empty_digest(&mut router, 4, 0, FENCE + 900);
     assert_eq!(pace(&mut router), None);
 }
 
-fn receive_digest(router: &mut Router, number: u64, era: u64, revision: i64) {
+fn receive_empty_digest(router: &mut Router, number: u64, era: u64, revision: i64) {
     let upto = StorePosition { era, revision };
     let digest = Digest {
         fence: upto.fence(),
         ..empty_digest(number, upto)
     };
-    hear(router, digest);
+    receive_digest(router, digest);
 }
 
 /// An older document of the operators is logged and changes nothing.
@@ -182,9 +182,9 @@
 fn the_routing_in_force_stays_when_the_store_shows_an_older_one() {
     let mut router = Router::new(open_group("g", [1, 2, 3]));
     router.tell(DirectEvent::Routing(Arc::new(routing(5))));
-    router.done.clear();
+    router.effects.clear();
     router.tell(DirectEvent::Routing(Arc::new(routing(4))));
     let is_logged = |e: &Effect| matches!(e, Effect::Log(n) if n.code == LogCode::RoutingOlder);
-    assert!(router.done.iter().any(is_logged));
+    assert!(router.effects.iter().any(is_logged));
     assert_eq!(router.state().routing.as_ref().map(|r| r.version), Some(5));
 }
--- a/tests/direct/retries.rs
+++ b/tests/direct/retries.rs
@@ -32,7 +32,7 @@
 /// A router that has just started and knows some other routers and many endpoints.
 fn router_with_peers(now: u64, others: u16) -> Router {
     let mut router = router_without_peers(now);
-    router.pass(20);
+    router.advance_ms(20);
     for n in 0..others {
         let id = InstanceId::new(&format!("other{n}"));
         router.state().peers.insert(id, addr(2_000 + n));
@@ -74,12 +74,12 @@
 fn a_router_that_is_killed_again_and_again_spends_its_part_once_in_a_window() {
     let mut count = Count::default();
     let mut router = router_with_peers(1_000, 10);
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let begin = router.now;
     send_shed_requests(&mut router, 60, &mut count);
     for start in [2_000, 4_500, 7_000] {
         let mut next = router_with_peers(begin + start, 10);
-        next.pass(500);
+        next.advance_ms(500);
         send_shed_requests(&mut next, 60, &mut count);
     }
     let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
@@ -91,11 +91,11 @@
 #[test]
 fn retries_less_than_a_window_apart_share_a_budget() {
     let mut router = router_with_peers(1_000, 10);
-    router.pass(2 * WINDOW_MS - 1_030);
+    router.advance_ms(2 * WINDOW_MS - 1_030);
     assert_eq!(router.now, 2 * WINDOW_MS - 10, "just before a tenth ends");
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
-    router.pass(WINDOW_MS - 980);
+    router.advance_ms(WINDOW_MS - 980);
     send_shed_requests(&mut router, 60, &mut count);
     let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
@@ -106,10 +106,10 @@
 #[test]
 fn a_router_that_loses_sight_of_others_keeps_its_part_for_a_window() {
     let mut router = router_with_peers(1_000, 51);
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
-    router.pass(1_000);
+    router.advance_ms(1_000);
     router.state().peers.clear();
     send_shed_requests(&mut router, 60, &mut count);
     let allowed = count.allowed(EXTRA_RETRIES / 52);
@@ -120,11 +120,11 @@
 #[test]
 fn a_router_that_has_run_for_a_window_has_its_part() {
     let mut router = router_with_peers(1_000, 10);
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
     assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let mut later = Count::default();
     send_shed_requests(&mut router, 60, &mut later);
     assert_eq!(later.retries, later.allowed(EXTRA_RETRIES / MIN_ROUTERS));
@@ -137,7 +137,7 @@
     let mut router = router_without_peers(1_000);
     router.state().registration.next_at = u64::MAX;
     router.state().plan.lease.next_call = u64::MAX;
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
     assert!(count.retries <= count.allowed(0), "{}", count.retries);
@@ -148,7 +148,7 @@
 fn at_the_first_start_of_the_system_a_router_has_its_part_within_two_seconds() {
     let mut router = router_without_peers(1_000);
     router.state().plan.first_start = true;
-    router.pass(2_000);
+    router.advance_ms(2_000);
     let mut count = Count::default();
     send_shed_requests(&mut router, 60, &mut count);
     assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
@@ -159,7 +159,7 @@
 #[test]
 fn retries_of_an_earlier_process_are_not_spent_again() {
     let mut router = router_with_peers(1_000, 10);
-    router.pass(2 * WINDOW_MS);
+    router.advance_ms(2 * WINDOW_MS);
     let served = RunPart::Complete {
         status: 200,
         not_run: false,
@@ -168,11 +168,11 @@
         let sent = run(&router.ask(n, "/safe/x"));
         router.part(sent.run, served.clone());
     }
-    router.pass(WINDOW_MS - 2_000);
+    router.advance_ms(WINDOW_MS - 2_000);
     let mut count = Count::default();
     send_shed_requests(&mut router, 100, &mut count);
     let mut next = router_with_peers(router.now + 500, 10);
-    next.pass(500);
+    next.advance_ms(500);
     send_shed_requests(&mut next, 100, &mut count);
     let earlier = 300.0 * RATIO;
     let allowed = count
--- a/tests/direct/routes.rs
+++ b/tests/direct/routes.rs
@@ -15,8 +15,8 @@
     assert_eq!(problem(&router.ask(1, "/stream/x")), None, "it waits");
     router.tell(DirectEvent::Routing(Arc::new(routing(1))));
     assert_eq!(problem(&router.ask(2, "/none/x")), None, "it waits");
-    router.pass(1_300);
-    let refused = router.take();
+    router.advance_ms(1_300);
+    let refused = router.take_effects();
     let problems: Vec<_> = refused
         .iter()
         .filter_map(|e| problem(std::slice::from_ref(e)))
@@ -51,7 +51,7 @@
     let mut stranger = crate::fixture::request(1, "/stream/x");
     stranger.key = Some("other".to_string());
     router.tell(DirectEvent::Request(Box::new(stranger)));
-    assert_eq!(problem(&router.take()), Some(Problem::NoAccount));
+    assert_eq!(problem(&router.take_effects()), Some(Problem::NoAccount));
     let sent = run(&router.ask(2, "/stream/x"));
     assert_eq!(sent.account.as_deref(), Some("ann"));
     assert_eq!(sent.to.as_str(), "e1", "only the head takes requests");
@@ -75,8 +75,8 @@
         let mut asked = request(1, "/stream/x");
         asked.wait_ms = left;
         router.tell(DirectEvent::Request(Box::new(asked)));
-        router.pass(left.unwrap_or(2_000) / 4 + 20);
-        let Some(Problem::NotYet(again)) = problem(&router.take()) else {
+        router.advance_ms(left.unwrap_or(2_000) / 4 + 20);
+        let Some(Problem::NotYet(again)) = problem(&router.take_effects()) else {
             panic!("refused");
         };
         assert!(again >= most / 2 && again <= most, "{left:?}: {again}");
--- a/tests/direct/staging.rs
+++ b/tests/direct/staging.rs
@@ -29,21 +29,25 @@
     let mut entries = open_group("g", [1, 2, 3]);
     entries.push(engine(4, None));
     let mut router = Router::planner(entries);
-    router.take();
+    router.take_effects();
     let (id, entry) = spare_with_two(4);
     router.change(id.as_str(), Some(entry));
-    router.pass(300);
-    assert_eq!(held(&router.take()), [], "holding it would drop the other");
+    router.advance_ms(300);
+    assert_eq!(
+        held(&router.take_effects()),
+        [],
+        "holding it would drop the other"
+    );
 }
 
 #[test]
 fn a_spare_that_has_just_started_holds_what_its_host_keeps() {
     let mut router = Router::planner(open_group("g", [1, 2, 3]));
     let (id, entry) = spare_with_two(4);
-    router.take();
+    router.take_effects();
     router.change(id.as_str(), Some(entry));
-    router.pass(300);
-    let held = held(&router.take());
+    router.advance_ms(300);
+    let held = held(&router.take_effects());
     assert_eq!(held[0], ("e4".to_string(), "small".to_string()));
 }
 
@@ -54,8 +58,8 @@
     let mut entries = open_group("g", [1, 2, 3]);
     entries.push(spare_with_two(4));
     let mut router = Router::planner(entries);
-    router.pass(1_000);
-    assert_eq!(held(&router.take()), []);
+    router.advance_ms(1_000);
+    assert_eq!(held(&router.take_effects()), []);
 }
 
 /// The large model has no group, and one of two hosts in the second domain stores it.
@@ -77,12 +81,12 @@
         entries.push((id, entry));
     }
     let mut router = Router::planner(entries);
-    router.pass(600);
+    router.advance_ms(600);
     let staged = |e: &DirectEffect| match order(e) {
         Some((_, id, GroupStep::Stage { model })) => Some((id, model.to_string())),
         _ => None,
     };
-    let first = router.take().iter().find_map(staged);
+    let first = router.take_effects().iter().find_map(staged);
     assert_eq!(first, Some(("e3".to_string(), "big".to_string())));
 }
 
@@ -99,11 +103,11 @@
     let mut entries = open_group("g", [1, 2, 3]);
     entries.extend((10..60).map(empty));
     let mut router = Router::planner(entries);
-    let mut loads = held(&router.take()).len();
-    router.pass(600);
-    loads += held(&router.take()).len();
+    let mut loads = held(&router.take_effects()).len();
+    router.advance_ms(600);
+    loads += held(&router.take_effects()).len();
     assert!(loads <= 4, "{loads} in the first second at 3 a second");
-    router.pass(4_000);
-    loads += held(&router.take()).len();
+    router.advance_ms(4_000);
+    loads += held(&router.take_effects()).len();
     assert!((8..=16).contains(&loads), "{loads} in five seconds");
 }
--- a/tests/fleet/groups.rs
+++ b/tests/fleet/groups.rs
@@ -6,7 +6,7 @@
 
 use testkit::{until, Chat, EngineKnobs, Fleet, FleetPlan, LONG};
 
-use crate::{answered, judge, serving, whole};
+use crate::{answered, assert_at_most_once, serving, whole};
 
 /// One way to lose a member.
 struct Case {
@@ -139,7 +139,7 @@
         fleet.agents[&leader].resume();
     });
     answered(&fleet, "e1", &Chat::default());
-    judge(&fleet, &["sleeper"]);
+    assert_at_most_once(&fleet, &["sleeper"]);
     let newest = fleet.fabric.runs().iter().map(|r| r.fence).max();
     let old = fleet
         .fabric
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -36,7 +36,7 @@
 }
 
 /// Asserts that no prompt of `once` ran more than once.
-fn judge(fleet: &Fleet, once: &[&str]) {
+fn assert_at_most_once(fleet: &Fleet, once: &[&str]) {
     let runs = fleet.fabric.runs();
     for prompt in once {
         let count = runs.iter().filter(|r| r.prompt == **prompt).count();
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -4,7 +4,7 @@
 
 use testkit::{post, until, Call, Chat, EngineKnobs, FleetPlan, PlatformFault, DESK_KEY, LONG};
 
-use crate::{answered, judge, serving, whole};
+use crate::{answered, assert_at_most_once, serving, whole};
 
 /// A request of class `letter`, which may not be repeated, with an idempotency key.
 fn letter(key: &str) -> Chat {
@@ -66,7 +66,7 @@
     assert!(!first.join().expect("a call").is_answered());
     let again = answered(&fleet, "e2", &call);
     assert_eq!(again.text, whole("letter b", 10));
-    judge(&fleet, &["letter b"]);
+    assert_at_most_once(&fleet, &["letter b"]);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     });
     assert_eq!(first.outcome.as_deref(), Some("unknown"), "{first:?}");
     assert_eq!(again.outcome.as_deref(), Some("unknown"), "{again:?}");
-    judge(&fleet, &["letter c"]);
+    assert_at_most_once(&fleet, &["letter c"]);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     });
     assert!(answer.is_answered(), "{answer:?}");
     assert_eq!(answer.text, whole("letter d", 10));
-    judge(&fleet, &["letter d"]);
+    assert_at_most_once(&fleet, &["letter d"]);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     if !answer.is_answered() {
         answered(&fleet, "e2", &call);
     }
-    judge(&fleet, &["letter e"]);
+    assert_at_most_once(&fleet, &["letter e"]);
     assert_eq!(fleet.fabric.runs().len(), 1);
 }
 
@@ -231,6 +231,6 @@
     let once: Vec<_> = (0..6)
         .flat_map(|i| [format!("letter w{i}"), format!("letter x{i}")])
         .collect();
-    judge(&fleet, &once.iter().map(String::as_str).collect::<Vec<_>>());
+    assert_at_most_once(&fleet, &once.iter().map(String::as_str).collect::<Vec<_>>());
     assert_eq!(fleet.fabric.runs().len(), 12);
 }
