--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -7,7 +7,7 @@
 use super::answer_body::{AnswerBody, DisconnectGuard, StreamPart};
 use super::link_event::LinkEvent;
 use super::shared::{Caller, Shared};
-use super::{looks, peers, runs, store};
+use super::{endpoint_calls, peers, runs, store};
 use crate::host::{Clock, SuspensionDetector};
 use crate::logic::direct::{DirectEffect, DirectEvent, Problem};
 use crate::logic::{step, Effect, Event, LogCode, LogEvent, Node};
@@ -171,13 +171,13 @@
                 self.shared.callers.borrow_mut().remove(&request);
             }
             DirectEffect::Refuse { request, problem } => self.refuse(request, problem),
-            DirectEffect::Probe { id, addr } => looks::send_probe(&self.shared, id, addr),
+            DirectEffect::Probe { id, addr } => endpoint_calls::send_probe(&self.shared, id, addr),
             DirectEffect::Order {
                 order,
                 id,
                 addr,
                 body,
-            } => looks::send_order(&self.shared, order, id, addr, body),
+            } => endpoint_calls::send_order(&self.shared, order, id, addr, body),
             DirectEffect::SendMessage { to, message } => peers::send(&self.shared, to, &message),
             DirectEffect::RetryStore => self.shared.gate.retry_now(),
             DirectEffect::ReadRouting { read_number } => {
--- a/src/link/runs.rs
+++ b/src/link/runs.rs
@@ -8,9 +8,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
+use super::endpoint_calls;
 use super::fault::Fault;
 use super::link_event::ReceivedRequest;
-use super::looks;
 use super::pool::Connection;
 use super::shared::{ActiveRun, Shared};
 use super::EventSplitter;
@@ -74,7 +74,7 @@
         Err(Fault::Broken) => return Some(RunPart::Broken),
     };
     let (head, body) = response.into_parts();
-    looks::send_rate(shared, &run.to, Some(run.run), &head.headers);
+    endpoint_calls::send_rate(shared, &run.to, Some(run.run), &head.headers);
     let reply = (shared.adapter.parse_reply)(&head, &received.label);
     if reply.foreign {
         return Some(RunPart::Broken);
--- a/src/link/store.rs
+++ b/src/link/store.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use tokio::time::{sleep, timeout};
 
-use super::looks::{fetch, log_unreadable};
+use super::endpoint_calls::{fetch, log_unreadable};
 use super::page_timeout;
 use super::shared::Shared;
 use super::store_gate::Permit;
--- a/src/link/watches.rs
+++ b/src/link/watches.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::backlog::more_wait;
-use super::looks::log_unreadable;
+use super::endpoint_calls::log_unreadable;
 use super::shared::Shared;
 use super::store::{read_all, send_call, PrefixEntries};
 use super::store_use::StoreUse;
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -1,6 +1,8 @@
 //! Handles the answers of endpoints and passes them on to callers.
 
-use super::{crashes, endpoints, finish, limit, send, DirectEffect, DirectState, RunPart};
+use super::{
+    concurrency_limit, crashes, endpoints, finish, send, DirectEffect, DirectState, RunPart,
+};
 use crate::logic::router::Metric;
 use crate::logic::Effect;
 use crate::types::Millis;
@@ -60,7 +62,7 @@
         .get(&id)
         .and_then(|f| Some((f.run.clone()?, f.route.target_ms)));
     if let Some((run, target)) = run_now.filter(|(r, _)| !r.begun) {
-        limit::on_run_begun(
+        concurrency_limit::on_run_begun(
             state,
             now,
             &run.endpoint,
--- a/src/logic/direct/choose.rs
+++ b/src/logic/direct/choose.rs
@@ -1,6 +1,6 @@
 //! Chooses the endpoint that a request is sent to.
 
-use super::{limit, rate_limit, DirectState, EndpointView, InFlightRequest, Mechanism};
+use super::{concurrency_limit, rate_limit, DirectState, EndpointView, InFlightRequest, Mechanism};
 use crate::types::{EngineSpec, InstanceId, Millis};
 
 /// Added to the expected delay of an endpoint in another data hall.
@@ -63,9 +63,10 @@
             continue;
         }
         let has_room = |e: &EngineSpec| {
-            (!params.is_enabled(Mechanism::Limits) || limit::has_room(view, routers, flight, now))
+            (!params.is_enabled(Mechanism::Limits)
+                || concurrency_limit::has_room(view, routers, flight, now))
                 && (!params.is_enabled(Mechanism::ReadingBound)
-                    || limit::can_read(view, routers, flight, e, now))
+                    || concurrency_limit::can_read(view, routers, flight, e, now))
         };
         if !engine.is_none_or(has_room) {
             continue;
--- a/src/logic/direct/crashes/crash_store.rs
+++ b/src/logic/direct/crashes/crash_store.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use super::crash_table::RETENTION_MS;
-use super::{share, CrashReport, CrashStore};
+use super::{broadcast, CrashReport, CrashStore};
 use crate::logic::direct::{DirectState, Fingerprint};
 use crate::logic::router::{KeyWrite, StoreCall, StoreChange, StoreEntry, StoreReply, StoreResult};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -140,7 +140,7 @@
     }
     match serde_json::from_str::<CrashReport>(value) {
         Ok(report) => {
-            share::merge_report(state, now, &report, out);
+            broadcast::merge_report(state, now, &report, out);
             // The record is stored already: this router needn't write it as well.
             state.crashes.store.queue.remove(&report.request);
         }
--- a/src/logic/direct/crashes/suspect.rs
+++ b/src/logic/direct/crashes/detect.rs
@@ -1,6 +1,6 @@
 //! Finds the requests that crash endpoints.
 
-use super::{share, Crash, CrashRecord, SuspectedCrash};
+use super::{broadcast, Crash, CrashRecord, SuspectedCrash};
 use crate::logic::direct::{finish, DirectEffect, DirectState, Fingerprint, ProbeResult, Problem};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{InstanceId, Millis};
@@ -105,7 +105,7 @@
             .with("crashes", state.crashes.table.suspected(&request));
         out.push(Effect::Log(event));
     }
-    share::send_due(state, now, out);
+    broadcast::send_due(state, now, out);
 }
 
 /// Whether the suspected process has ended: nothing or another endpoint listens at its
@@ -133,7 +133,7 @@
     if !state.crashes.table.merge(now, request, record) {
         return;
     }
-    share::schedule_broadcast(state, now, request);
+    broadcast::schedule_broadcast(state, now, request);
     if !blocked && state.crashes.table.is_blocked(&request) {
         state.crashes.store.queue.insert(request, now);
         end_in_flight(state, request, out);
@@ -171,8 +171,8 @@
     if state.crashes.table.clear(&request) {
         let event = LogEvent::new(LogCode::CrashesCleared).with("fingerprint", request);
         out.push(Effect::Log(event));
-        share::schedule_broadcast(state, now, request);
-        share::send_due(state, now, out);
+        broadcast::schedule_broadcast(state, now, request);
+        broadcast::send_due(state, now, out);
     }
 }
 
@@ -229,6 +229,6 @@
     for id in due {
         probe(state, now, &id, out);
     }
-    share::send_due(state, now, out);
+    broadcast::send_due(state, now, out);
     super::crash_store::on_tick(state, now, out);
 }
--- a/src/logic/direct/crashes/mod.rs
+++ b/src/logic/direct/crashes/mod.rs
@@ -8,15 +8,15 @@
 //! They are unlikely to run at the endpoint of the next crash too, and are cleared once they
 //! are answered in full.
 
+mod broadcast;
 mod crash;
 mod crash_record;
 mod crash_report;
 mod crash_state;
 mod crash_store;
 mod crash_table;
+mod detect;
 mod recently_served;
-mod share;
-mod suspect;
 mod suspected_crash;
 
 pub use crash::Crash;
@@ -27,11 +27,11 @@
 pub use recently_served::RecentlyServed;
 pub use suspected_crash::SuspectedCrash;
 
+pub(super) use broadcast::on_crash_reports;
 pub(super) use crash_store::{
     on_store_entries, on_store_reply, on_store_restored, on_watch_changes,
 };
-pub(super) use share::on_crash_reports;
-pub(super) use suspect::{is_risky, on_answered, on_probe_result, on_run_broken, on_tick, refusal};
+pub(super) use detect::{is_risky, on_answered, on_probe_result, on_run_broken, on_tick, refusal};
 
 /// Number of crashes from which on a request is refused.
 pub(super) const MIN_BLOCKING_CRASHES: usize = 3;
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -1,7 +1,8 @@
 //! What this router knows about endpoints, from the endpoint list and from its own runs.
 
 use super::{
-    digests, limit, plan, DirectState, EndpointUpdate, EndpointView, Observation, ProbeResult,
+    concurrency_limit, digests, plan, DirectState, EndpointUpdate, EndpointView, Observation,
+    ProbeResult,
 };
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis};
@@ -368,7 +369,7 @@
         view.backoff_until = view.backoff_until.max(now + FULL_BACKOFF_MS);
     }
     if let Some(at) = run_endpoint_id(state, request) {
-        limit::on_full(state, now, &at);
+        concurrency_limit::on_full(state, now, &at);
     }
 }
 
--- a/src/logic/direct/plan/form.rs
+++ b/src/logic/direct/plan/form.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{look, order, retire, EndingGroup, EndingStep, FormingGroup, OrderUse};
+use super::{order, probe, retire, EndingGroup, EndingStep, FormingGroup, OrderUse};
 use crate::logic::direct::{digests, DirectState, GroupStep};
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{EndpointEntry, GroupSeat, InstanceId, Millis, SeatState};
@@ -155,7 +155,7 @@
     if now + FORM_SLACK_MS >= forming.deadline + LATE_PROBE_MS {
         for (id, seat) in forming.members.iter().zip(&seats) {
             if !matches!(seat, Some(SeatState::Ready | SeatState::Open)) {
-                look::send_if_due(state, now, id, out);
+                probe::send_if_due(state, now, id, out);
             }
         }
     }
--- a/src/logic/direct/plan/inspect.rs
+++ b/src/logic/direct/plan/inspect.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{look, retire, survey, EndingGroup, EndingStep, FormingGroup, GroupMember, GroupView};
+use super::{probe, retire, survey, EndingGroup, EndingStep, FormingGroup, GroupMember, GroupView};
 use crate::logic::direct::DirectState;
 use crate::logic::Effect;
 use crate::types::{InstanceId, Millis, SeatState};
@@ -52,7 +52,7 @@
     }
     state.plan.incomplete.remove(name);
     for seat in group.seats.values().filter(|s| !s.listed) {
-        look::send_if_due(state, now, &seat.id, out);
+        probe::send_if_due(state, now, &seat.id, out);
     }
     match group.head().map(|h| h.state) {
         Some(SeatState::Open) if group.seats.values().any(|s| s.leaving) => {
--- a/src/logic/direct/plan/mod.rs
+++ b/src/logic/direct/plan/mod.rs
@@ -4,8 +4,8 @@
 //! existing groups are read from the endpoint list and not from any state of an
 //! earlier planner, so that a new planner can continue its predecessor's work.
 //!
-//! `duty` keeps the planner lease and `tend` runs the periodic planning pass.
-//! `survey` reads the groups from the list, `look` probes endpoints that may be lost,
+//! `planner_lease` keeps the planner lease and `planning_pass` runs the planning pass.
+//! `survey` reads the groups from the list, `probe` probes endpoints that may be lost,
 //! `inspect` finds groups that need a repair, an orderly end or their next step, and
 //! `form` and `retire` form and end groups by the orders that `order` sends.
 //! `place` and `fill` decide which groups to form, `trade` which open group to end in
@@ -13,7 +13,6 @@
 //! what groups are worth given the demand, `readiness` what a load in advance adds.
 //! `idle` reports endpoints that serve in no group, with the reason.
 
-mod duty;
 mod ending;
 mod fill;
 mod fleet_view;
@@ -24,37 +23,40 @@
 mod idle_reason;
 mod inspect;
 mod load_budget;
-mod look;
 mod mix;
 mod model_load;
 mod order;
 mod place;
 mod plan_state;
+mod planner_lease;
+mod planning_pass;
+mod probe;
 mod readiness;
 mod retire;
 mod stage;
 mod staging;
 mod survey;
-mod tend;
 mod trade;
 mod value;
 
-pub use duty::{LeaseCall, PlannerLease};
 pub use ending::{EndingGroup, EndingStep};
 pub use forming::FormingGroup;
 pub use group_view::{GroupMember, GroupView};
 pub use idle::IdleEndpoint;
 pub use idle_reason::IdleReason;
 pub use load_budget::LoadBudget;
-pub use look::ProbeState;
 pub use order::OrderUse;
 pub use place::{place, PlacementInput, PlacementModel};
 pub use plan_state::PlanState;
+pub use planner_lease::{LeaseCall, PlannerLease};
+pub use probe::ProbeState;
 pub use staging::StagedLoad;
 
-pub(super) use duty::{on_store_reply, on_store_restored, on_watch_changes, on_watch_lost};
 pub(super) use form::apply_known_seat;
-pub(super) use look::{on_head_silent, on_observation, on_probe_result};
 pub(super) use order::on_order_result;
+pub(super) use planner_lease::{
+    on_store_reply, on_store_restored, on_watch_changes, on_watch_lost,
+};
+pub(super) use planning_pass::on_tick;
+pub(super) use probe::{on_head_silent, on_observation, on_probe_result};
 pub(super) use retire::{is_in_retired_group, on_endpoint_restarted};
-pub(super) use tend::on_tick;
--- a/src/logic/direct/plan/tend.rs
+++ b/src/logic/direct/plan/planning_pass.rs
@@ -1,7 +1,8 @@
 //! The periodic planning pass over all groups and free endpoints.
 
 use super::{
-    duty, fill, fleet_view, form, idle, inspect, look, retire, stage, survey, value, LoadBudget,
+    fill, fleet_view, form, idle, inspect, planner_lease, probe, retire, stage, survey, value,
+    LoadBudget,
 };
 use crate::logic::direct::{DirectEffect, DirectState};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -19,7 +20,7 @@
     now: Millis,
     out: &mut Vec<Effect>,
 ) {
-    duty::on_tick(state, now, out);
+    planner_lease::on_tick(state, now, out);
     let holds = state.plan.lease.holds(now) && state.stop_since.is_none();
     if holds != state.plan.was_planner {
         state.plan.was_planner = holds;
@@ -27,7 +28,7 @@
         if holds {
             state.plan.reread_at = now;
             state.plan.budget = LoadBudget::empty(now);
-            look::send_to_seated(state, now, out);
+            probe::send_to_seated(state, now, out);
         }
         if !holds {
             let event = LogEvent::new(LogCode::PlannerLeaseLost).with("why", "not renewed in time");
@@ -44,7 +45,7 @@
     let interval = state.endpoints.len() as Millis / ENDPOINTS_PER_MS;
     state.plan.next_pass = now + state.params.planning_ms.max(interval);
     update_engine_count(state, now);
-    look::on_tick(state, now, out);
+    probe::on_tick(state, now, out);
     form::on_tick(state, now, out);
     retire::on_tick(state, now, out);
     inspect::on_tick(state, now, out);
--- a/src/logic/direct/plan/retire.rs
+++ b/src/logic/direct/plan/retire.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{
-    form, look, order, readiness, EndingGroup, EndingStep, FormingGroup, GroupView, OrderUse,
+    form, order, probe, readiness, EndingGroup, EndingStep, FormingGroup, GroupView, OrderUse,
 };
 use crate::logic::direct::{DirectState, EndpointView, GroupStep};
 use crate::logic::{Effect, LogCode, LogEvent};
@@ -212,7 +212,7 @@
         return false;
     }
     if let (EndingStep::Confirming, Some(head)) = (ending.step, &ending.head) {
-        look::send_if_due(state, now, head, out);
+        probe::send_if_due(state, now, head, out);
     }
     let next = next_step(state, now, group, ending);
     if next != ending.step {
@@ -260,7 +260,7 @@
 /// are ordered to leave, which breaks it. A head that a router finds alive gets as long as
 /// an orderly end may take.
 fn confirm_limit_ms(state: &DirectState, head: Option<&InstanceId>) -> Millis {
-    if head.is_some_and(|id| look::is_found_alive(state, id)) {
+    if head.is_some_and(|id| probe::is_found_alive(state, id)) {
         CLOSING_LIMIT_MS
     } else {
         CONFIRM_LIMIT_MS
@@ -285,7 +285,7 @@
         EndingStep::Confirming => ending
             .head
             .as_ref()
-            .is_some_and(|id| look::is_stop_confirmed(state, id)),
+            .is_some_and(|id| probe::is_stop_confirmed(state, id)),
         EndingStep::Breaking => {
             let without_members = ending.others.is_empty().then_some(ending.step_since);
             let since = ending.left_at.or(without_members);
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -1,5 +1,5 @@
 use super::{
-    accept, answer, crashes, demand, digests, endpoints, finish, pause, peers, plan, queue,
+    accept, answer, crashes, demand, digests, endpoints, finish, peers, plan, process_pause, queue,
     rate_limit, silence, store_restore, DirectEffect, DirectEvent, DirectState, ShutdownStage,
 };
 use crate::logic::{Effect, Event, LogCode, LogEvent};
@@ -13,7 +13,7 @@
         state.ticked_at = now;
         state.previous_tick = now;
     }
-    pause::detect(state, now, out);
+    process_pause::detect(state, now, out);
     match event {
         Event::Stop => on_stop(state, now),
         Event::Store { call, result } if state.registration.call == Some(call) => {
@@ -53,7 +53,7 @@
         DirectEvent::StoreBack => peers::notify_store_back(state, out),
         DirectEvent::RoutingRead => state.digests.routing_at = state.previous_tick,
         DirectEvent::RoutingChecked { read_number } => {
-            pause::on_routing_checked(state, read_number)
+            process_pause::on_routing_checked(state, read_number)
         }
         DirectEvent::StoreEra(era) => store_restore::on_store_era(state, now, era, out),
         DirectEvent::ListRead { at, entries } => {
@@ -136,7 +136,7 @@
 fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     state.previous_tick = state.ticked_at;
     state.ticked_at = now;
-    pause::on_tick(state, now, out);
+    process_pause::on_tick(state, now, out);
     finish::on_tick(state, now, out);
     queue::on_tick(state, now, out);
     silence::on_tick(state, now, out);
