--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -5,10 +5,10 @@
 
 use crate::logic::router::Problem;
 
-/// Reads a body of at most `limit` bytes as text.
+/// Reads the body of a request as UTF-8 text of at most `limit` bytes.
 pub(super) fn read(request: &mut Request, limit: usize) -> Result<String, Problem> {
     let too_long = || {
-        let detail = format!("the body is longer than {limit} bytes, the limit");
+        let detail = format!("the body is longer than the limit of {limit} bytes");
         Problem::not_run(413, detail)
     };
     if request.body_length().is_some_and(|n| n > limit) {
@@ -25,11 +25,11 @@
     }
     String::from_utf8(bytes).map_err(|e| {
         let at = e.utf8_error().valid_up_to();
-        Problem::not_run(400, format!("the body isn't UTF-8 at byte {at}"))
+        Problem::not_run(400, format!("the body is not UTF-8 at byte {at}"))
     })
 }
 
-/// Value of a header.
+/// Value of the first header with a name.
 pub(super) fn header<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     request
         .headers()
@@ -39,11 +39,11 @@
 }
 
 /// Bearer token of a request.
-pub(super) fn bearer(request: &Request) -> Option<&str> {
+pub(super) fn bearer_token(request: &Request) -> Option<&str> {
     header(request, "Authorization")?.strip_prefix("Bearer ")
 }
 
-/// SHA-256 in lower-case hexadecimal.
+/// SHA-256 of a text in lower-case hexadecimal.
 pub(super) fn sha256_hex(text: &str) -> String {
     let digest = Sha256::digest(text.as_bytes());
     digest.iter().map(|b| format!("{b:02x}")).collect()
--- a/src/http/caller_api.rs
+++ b/src/http/caller_api.rs
@@ -13,12 +13,12 @@
 use crate::logic::Event;
 use crate::types::{Millis, ModelKind, RequestId};
 
-/// Path of chat completions, here and at engines.
-const CHAT: &str = "/v1/chat/completions";
-/// Prefix of calls to plain services.
-const SERVICES: &str = "/v1/services/";
-/// Longest `Idempotency-Key`, in bytes.
-const KEY_LIMIT: usize = 256;
+/// Path of chat completions, at this router and at engines.
+const CHAT_PATH: &str = "/v1/chat/completions";
+/// Path prefix of calls to plain services.
+const SERVICES_PREFIX: &str = "/v1/services/";
+/// Maximum length of an `Idempotency-Key`.
+const MAX_KEY_BYTES: usize = 256;
 
 /// The API for callers: chat completions and calls to plain services.
 pub struct CallerApi {
@@ -28,14 +28,14 @@
     body_limit: usize,
 }
 
-/// A request that was understood.
-struct Parsed {
+/// A valid request.
+struct ParsedRequest {
     call: CallerRequest,
     stream: bool,
 }
 
 impl CallerApi {
-    /// An API that hands requests to a router's inbox.
+    /// An API that passes requests to a router's inbox; `body_limit` is in bytes.
     pub fn new(inbox: Inbox, incarnation: u64, body_limit: usize) -> Self {
         Self {
             inbox,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Serves one HTTP request to its end.
+    /// Serves one HTTP request and returns when it is answered.
     pub fn serve(&self, mut request: Request) {
         let id = RequestId {
             node: self.incarnation,
@@ -55,30 +55,31 @@
             Ok(parsed) => self.answer(request, parsed),
             Err(problem) => {
                 let response = problem_json::response(&problem, Some(&id.to_string()));
-                // A caller that has hung up needs no answer.
+                // If the caller has disconnected, nobody needs the response.
                 let _ = request.respond(response);
             }
         }
     }
 
-    fn parse(&self, request: &mut Request, id: RequestId) -> Result<Parsed, Problem> {
+    fn parse(&self, request: &mut Request, id: RequestId) -> Result<ParsedRequest, Problem> {
         let path = request
             .url()
             .split('?')
             .next()
             .unwrap_or_default()
             .to_string();
-        let chat = path == CHAT;
-        let service = path.strip_prefix(SERVICES).map(str::to_string);
+        let chat = path == CHAT_PATH;
+        let service = path.strip_prefix(SERVICES_PREFIX).map(str::to_string);
         if !chat && service.is_none() {
-            let detail = format!("found {path}, expected {CHAT} or {SERVICES}<name>/<path>");
+            let detail =
+                format!("found {path}, expected {CHAT_PATH} or {SERVICES_PREFIX}<name>/<path>");
             return Err(Problem::not_run(404, detail));
         }
         if *request.method() != Method::Post {
             let detail = format!("found {}, expected POST", request.method());
             return Err(Problem::not_run(405, detail));
         }
-        let key_sha256 = match body::bearer(request) {
+        let key_sha256 = match body::bearer_token(request) {
             Some(key) => body::sha256_hex(key),
             None => {
                 let detail = "the header `Authorization: Bearer <key>` is missing";
@@ -86,14 +87,14 @@
             }
         };
         let class = body::header(request, "Runrail-Class").map(Arc::from);
-        let deadline_ms = deadline(request)?;
-        let once_key = once_key(request)?;
+        let deadline_ms = parse_deadline(request)?;
+        let once_key = idempotency_key(request)?;
         let text = body::read(request, self.body_limit)?;
         let target = match service {
             Some(rest) => service_target(&rest)?,
             None => chat_target(&text)?,
         };
-        Ok(Parsed {
+        Ok(ParsedRequest {
             stream: target.stream,
             call: CallerRequest {
                 id,
@@ -109,7 +110,7 @@
         })
     }
 
-    fn answer(&self, request: Request, parsed: Parsed) {
+    fn answer(&self, request: Request, parsed: ParsedRequest) {
         let id = parsed.call.id;
         let model = parsed.call.model.clone();
         let kind = parsed.call.kind;
@@ -119,9 +120,9 @@
             reply,
         });
         let sent = match kind {
-            ModelKind::Engine if parsed.stream => stream(request, id, &model, &parts),
-            ModelKind::Engine => collect_chat(request, id, &model, &parts),
-            ModelKind::Service => collect_service(request, id, &parts),
+            ModelKind::Engine if parsed.stream => stream_answer(request, id, &model, &parts),
+            ModelKind::Engine => respond_chat(request, id, &model, &parts),
+            ModelKind::Service => respond_service(request, id, &parts),
         };
         if sent.is_err() {
             self.inbox.send(HostEvent::Step(Event::Gone(id)));
@@ -138,7 +139,7 @@
 
 fn chat_target(text: &str) -> Result<Target, Problem> {
     let value: Value = serde_json::from_str(text)
-        .map_err(|e| Problem::not_run(400, format!("the body isn't JSON: {e}")))?;
+        .map_err(|e| Problem::not_run(400, format!("the body is not valid JSON: {e}")))?;
     let Some(model) = value["model"].as_str() else {
         return Err(Problem::not_run(400, "`model`: expected a string"));
     };
@@ -148,7 +149,7 @@
     Ok(Target {
         model: model.to_string(),
         kind: ModelKind::Engine,
-        path: CHAT.to_string(),
+        path: CHAT_PATH.to_string(),
         stream: value["stream"].as_bool().unwrap_or(false),
     })
 }
@@ -156,7 +157,8 @@
 fn service_target(rest: &str) -> Result<Target, Problem> {
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     if name.is_empty() {
-        let detail = format!("found no name, expected {SERVICES}<name>/<path>");
+        let detail =
+            format!("the name of the service is missing, expected {SERVICES_PREFIX}<name>/<path>");
         return Err(Problem::not_run(404, detail));
     }
     Ok(Target {
@@ -167,7 +169,7 @@
     })
 }
 
-fn deadline(request: &Request) -> Result<Option<Millis>, Problem> {
+fn parse_deadline(request: &Request) -> Result<Option<Millis>, Problem> {
     let Some(text) = body::header(request, "Runrail-Deadline-Ms") else {
         return Ok(None);
     };
@@ -181,12 +183,12 @@
     }
 }
 
-fn once_key(request: &Request) -> Result<Option<String>, Problem> {
+fn idempotency_key(request: &Request) -> Result<Option<String>, Problem> {
     let key = body::header(request, "Idempotency-Key");
     match key {
-        Some(key) if key.is_empty() || key.len() > KEY_LIMIT => {
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
             let detail = format!(
-                "Idempotency-Key: found {} bytes, expected 1 to {KEY_LIMIT}",
+                "Idempotency-Key: found {} bytes, expected 1 to {MAX_KEY_BYTES}",
                 key.len()
             );
             Err(Problem::not_run(400, detail))
@@ -195,19 +197,21 @@
     }
 }
 
-/// What to say when the process ends before the request has.
-fn cut_off() -> Problem {
-    Problem::unknown(502, "the router ended before the request did")
+/// Problem of a request that is open when the router stops.
+fn router_stopped() -> Problem {
+    Problem::unknown(502, "the router stopped before the request was answered")
 }
 
-fn stream(
+fn stream_answer(
     request: Request,
     id: RequestId,
     model: &str,
     parts: &Receiver<AnswerPart>,
 ) -> std::io::Result<()> {
     let id = id.to_string();
-    let first = parts.recv().unwrap_or(AnswerPart::Problem(cut_off()));
+    let first = parts
+        .recv()
+        .unwrap_or(AnswerPart::Problem(router_stopped()));
     if let AnswerPart::Problem(problem) = &first {
         return request.respond(problem_json::response(problem, Some(&id)));
     }
@@ -215,35 +219,37 @@
     let mut part = first;
     loop {
         match part {
-            AnswerPart::Piece(text) => writer.piece(&text)?,
-            AnswerPart::End { .. } => return writer.finish(),
-            AnswerPart::Problem(problem) => return writer.fail(&problem),
+            AnswerPart::Piece(text) => writer.write_piece(&text)?,
+            AnswerPart::End { .. } => return writer.write_end(),
+            AnswerPart::Problem(problem) => return writer.write_problem(&problem),
         }
-        part = parts.recv().unwrap_or(AnswerPart::Problem(cut_off()));
+        part = parts
+            .recv()
+            .unwrap_or(AnswerPart::Problem(router_stopped()));
     }
 }
 
-/// Collects an answer; `Err` holds the problem that ended it.
-fn collect(parts: &Receiver<AnswerPart>) -> Result<(u16, String), Problem> {
-    let mut whole = String::new();
+/// Collects a whole answer: its status and text, or the problem that ended it.
+fn collect_answer(parts: &Receiver<AnswerPart>) -> Result<(u16, String), Problem> {
+    let mut text = String::new();
     loop {
         match parts.recv() {
-            Ok(AnswerPart::Piece(text)) => whole.push_str(&text),
-            Ok(AnswerPart::End { status }) => return Ok((status, whole)),
+            Ok(AnswerPart::Piece(piece)) => text.push_str(&piece),
+            Ok(AnswerPart::End { status }) => return Ok((status, text)),
             Ok(AnswerPart::Problem(problem)) => return Err(problem),
-            Err(_) => return Err(cut_off()),
+            Err(_) => return Err(router_stopped()),
         }
     }
 }
 
-fn collect_chat(
+fn respond_chat(
     request: Request,
     id: RequestId,
     model: &str,
     parts: &Receiver<AnswerPart>,
 ) -> std::io::Result<()> {
     let id = id.to_string();
-    match collect(parts) {
+    match collect_answer(parts) {
         Ok((status, text)) => {
             let body = json!({
                 "id": id,
@@ -261,13 +267,13 @@
     }
 }
 
-fn collect_service(
+fn respond_service(
     request: Request,
     id: RequestId,
     parts: &Receiver<AnswerPart>,
 ) -> std::io::Result<()> {
     let id = id.to_string();
-    match collect(parts) {
+    match collect_answer(parts) {
         Ok((status, text)) => respond_json(request, &id, status, text),
         Err(problem) => request.respond(problem_json::response(&problem, Some(&id))),
     }
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -8,22 +8,22 @@
 use super::problem_json;
 use crate::logic::router::Problem;
 
-/// Stack of a thread that serves one request, in bytes.
-const STACK: usize = 256 * 1024;
+/// Stack size of a thread that serves one request.
+const STACK_BYTES: usize = 256 * 1024;
 
-/// Serves HTTP requests, each on a thread of its own, bounded in number.
+/// Serves HTTP requests, each on its own thread; the number of open requests is limited.
 pub struct HttpServer {
     addr: SocketAddr,
-    open: Arc<AtomicUsize>,
+    open_requests: Arc<AtomicUsize>,
 }
 
 impl HttpServer {
     /// Listens and serves every request with `handle`.
     ///
-    /// Requests beyond `limit` are answered with 503 at once.
+    /// While `limit` requests are open, further ones are refused with 503 at once.
     ///
     /// # Errors
-    /// Returns the error of the listening socket or of the first thread.
+    /// Returns the error of the listening socket or of the thread that accepts requests.
     pub fn start(
         listen: SocketAddr,
         limit: usize,
@@ -35,65 +35,68 @@
             .to_ip()
             .ok_or_else(|| std::io::Error::other("not an IP address"))?;
         let handle = Arc::new(handle);
-        let open = Arc::new(AtomicUsize::new(0));
-        let counted = open.clone();
+        let open_requests = Arc::new(AtomicUsize::new(0));
+        let counter = open_requests.clone();
         std::thread::Builder::new()
             .name("http".into())
-            .spawn(move || serve(&server, limit, &counted, &handle))?;
-        Ok(Self { addr, open })
+            .spawn(move || serve(&server, limit, &counter, &handle))?;
+        Ok(Self {
+            addr,
+            open_requests,
+        })
     }
 
-    /// Waits until every request has its whole answer, for a bounded time.
+    /// Waits until all open requests are answered, at most for `limit`.
     pub fn finish(&self, limit: Duration) {
         let start = Instant::now();
-        while self.open.load(Ordering::SeqCst) > 0 && start.elapsed() < limit {
+        while self.open_requests.load(Ordering::SeqCst) > 0 && start.elapsed() < limit {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Address it listens on.
+    /// Address that is listened on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-fn serve<H>(server: &Server, limit: usize, open: &Arc<AtomicUsize>, handle: &Arc<H>)
+fn serve<H>(server: &Server, limit: usize, open_requests: &Arc<AtomicUsize>, handle: &Arc<H>)
 where
     H: Fn(Request) + Send + Sync + 'static,
 {
     for request in server.incoming_requests() {
-        if open.fetch_add(1, Ordering::SeqCst) >= limit {
-            open.fetch_sub(1, Ordering::SeqCst);
+        if open_requests.fetch_add(1, Ordering::SeqCst) >= limit {
+            open_requests.fetch_sub(1, Ordering::SeqCst);
             refuse(request, limit);
             continue;
         }
-        let count = Counted(open.clone());
+        let guard = OpenRequestGuard(open_requests.clone());
         let handle = handle.clone();
         let spawned = std::thread::Builder::new()
             .name("caller".into())
-            .stack_size(STACK)
+            .stack_size(STACK_BYTES)
             .spawn(move || {
-                let _count = count;
+                let _guard = guard;
                 handle(request);
             });
         if let Err(e) = spawned {
-            // The request was moved into the thread and its connection is closed.
-            log::warn!(target: "runrail", "a request was dropped: {e}");
+            // The request was moved into the closure, which is dropped and closes its connection.
+            log::warn!(target: "runrail", "request dropped, its thread could not be started: {e}");
         }
     }
 }
 
 fn refuse(request: Request, limit: usize) {
-    let detail = format!("{limit} requests are open, the limit of this router");
+    let detail = format!("this router has reached its limit of {limit} open requests");
     let problem = Problem::not_run(503, detail).retry_in(1_000);
-    // A caller that has hung up needs no answer.
+    // If the caller has disconnected, nobody needs the response.
     let _ = request.respond(problem_json::response(&problem, None));
 }
 
-/// Counts one request down when it ends, however it ends.
-struct Counted(Arc<AtomicUsize>);
+/// Decrements the number of open requests when dropped, also after a panic.
+struct OpenRequestGuard(Arc<AtomicUsize>);
 
-impl Drop for Counted {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators.
+//! HTTP servers for callers and operators.
 
 mod body;
 mod caller_api;
--- a/src/http/operator_api.rs
+++ b/src/http/operator_api.rs
@@ -12,12 +12,12 @@
 use crate::logic::router::{OperatorCall, OperatorReply, Problem};
 use crate::types::{Approval, Bundle, BundleBody};
 
-/// Longest bundle, in bytes; the service holds values of up to a megabyte.
-const BUNDLE_LIMIT: usize = 900 * 1024;
-/// Time after which an operator's call is answered whatever happens.
-const TIMEOUT: Duration = Duration::from_secs(10);
-/// Prefix of all paths.
-const PREFIX: &str = "/operator/v1/";
+/// Maximum length of a bundle; the key-value service stores values of up to 1 MB.
+const MAX_BUNDLE_BYTES: usize = 900 * 1024;
+/// Timeout of an operator's call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Path prefix of the API.
+const PATH_PREFIX: &str = "/operator/v1/";
 
 /// The API for operators: bundles, status, events and metrics.
 pub struct OperatorApi {
@@ -42,7 +42,7 @@
 }
 
 impl OperatorApi {
-    /// An API for the operators given by name and token hash.
+    /// An API for operators, each given as a name and the SHA-256 of a token.
     pub fn new(inbox: Inbox, operators: &[(String, String)]) -> Self {
         let by_token = operators.iter().map(|(n, t)| (t.clone(), n.clone()));
         Self {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Serves one HTTP request to its end.
+    /// Serves one HTTP request and returns when it is answered.
     pub fn serve(&self, mut request: Request) {
         let response = match self.handle(&mut request) {
             Ok(value) => Response::from_data(value.to_string())
                 .with_header(header("Content-Type", "application/json")),
             Err(problem) => problem_json::response(&problem, None),
         };
-        // An operator who has hung up needs no answer.
+        // If the operator has disconnected, nobody needs the response.
         let _ = request.respond(response);
     }
 
@@ -66,10 +66,10 @@
         let operator = self.operator(request)?;
         let url = request.url().to_string();
         let (path, query) = url.split_once('?').unwrap_or((&url, ""));
-        let Some(path) = path.strip_prefix(PREFIX) else {
+        let Some(path) = path.strip_prefix(PATH_PREFIX) else {
             return Err(Problem::not_run(
                 404,
-                format!("expected a path below {PREFIX}"),
+                format!("expected a path below {PATH_PREFIX}"),
             ));
         };
         let parts: Vec<_> = path.split('/').collect();
@@ -79,7 +79,7 @@
             (false, ["bundles"]) => self.call(OperatorCall::Bundles),
             (false, ["events"]) => {
                 let about = query.strip_prefix("about=").unwrap_or("");
-                self.inspect(Inspect::Events(unescape(about)))
+                self.inspect(Inspect::Events(unescape_slashes(about)))
             }
             (false, ["metrics"]) => self.inspect(Inspect::Metrics),
             (true, ["bundles"]) => {
@@ -102,14 +102,14 @@
                 })
             }
             _ => {
-                let detail = format!("nothing answers {} {path}", request.method());
+                let detail = format!("no such resource: {} {path}", request.method());
                 Err(Problem::not_run(404, detail))
             }
         }
     }
 
     fn operator(&self, request: &Request) -> Result<String, Problem> {
-        let token = body::bearer(request).map(body::sha256_hex);
+        let token = body::bearer_token(request).map(body::sha256_hex);
         let name = token.and_then(|t| self.operators.get(&t).cloned());
         name.ok_or_else(|| Problem::not_run(401, "the token belongs to no operator"))
     }
@@ -117,27 +117,27 @@
     fn call(&self, call: OperatorCall) -> Result<Value, Problem> {
         let (reply, answer) = channel();
         self.inbox.send(HostEvent::Operator { call, reply });
-        match answer.recv_timeout(TIMEOUT) {
-            Ok(reply) => show(reply),
-            Err(_) => Err(Problem::unknown(504, "the router gave no answer in time")),
+        match answer.recv_timeout(CALL_TIMEOUT) {
+            Ok(reply) => reply_json(reply),
+            Err(_) => Err(Problem::unknown(504, "the router did not answer in time")),
         }
     }
 
     fn inspect(&self, what: Inspect) -> Result<Value, Problem> {
         let (reply, answer) = channel();
         self.inbox.send(HostEvent::Inspect { what, reply });
-        let answer = answer.recv_timeout(TIMEOUT);
-        answer.map_err(|_| Problem::unknown(504, "the router gave no answer in time"))
+        let answer = answer.recv_timeout(CALL_TIMEOUT);
+        answer.map_err(|_| Problem::unknown(504, "the router did not answer in time"))
     }
 }
 
 fn read_bundle(request: &mut Request) -> Result<BundleBody, Problem> {
-    let text = body::read(request, BUNDLE_LIMIT)?;
+    let text = body::read(request, MAX_BUNDLE_BYTES)?;
     serde_json::from_str(&text)
-        .map_err(|e| Problem::not_run(422, format!("the bundle can't be read: {e}")))
+        .map_err(|e| Problem::not_run(422, format!("the bundle is not valid: {e}")))
 }
 
-fn show(reply: OperatorReply) -> Result<Value, Problem> {
+fn reply_json(reply: OperatorReply) -> Result<Value, Problem> {
     match reply {
         OperatorReply::Submitted(number) => Ok(json!({ "submitted": number })),
         OperatorReply::Approved(number) => Ok(json!({ "approved": number })),
@@ -147,7 +147,10 @@
             approvals,
             head,
         } => {
-            let rows: Vec<_> = bundles.iter().map(|b| row(b, &approvals, head)).collect();
+            let rows: Vec<_> = bundles
+                .iter()
+                .map(|b| bundle_row(b, &approvals, head))
+                .collect();
             Ok(json!({ "head": head, "bundles": rows }))
         }
         OperatorReply::Status(status) => Ok(json!(status)),
@@ -155,7 +158,7 @@
     }
 }
 
-fn row(bundle: &Bundle, approvals: &[Approval], head: u64) -> BundleRow {
+fn bundle_row(bundle: &Bundle, approvals: &[Approval], head: u64) -> BundleRow {
     let approval = approvals.iter().find(|a| a.number == bundle.number);
     BundleRow {
         number: bundle.number,
@@ -166,7 +169,7 @@
     }
 }
 
-/// Undoes `%2F`, the only escape that subjects need.
-fn unescape(text: &str) -> String {
+/// Decodes `%2F`, the only escape that subjects of events need.
+fn unescape_slashes(text: &str) -> String {
     text.replace("%2F", "/").replace("%2f", "/")
 }
--- a/src/http/problem_json.rs
+++ b/src/http/problem_json.rs
@@ -5,7 +5,7 @@
 
 use crate::logic::router::Problem;
 
-/// Body of an error answer, in the form of RFC 9457.
+/// Body of an error response, as in RFC 9457.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemJson {
     /// Kind of problem.
@@ -17,13 +17,13 @@
     pub outcome: String,
     /// What happened and what to try.
     pub detail: String,
-    /// Id of the request, to be given to operators.
+    /// Id of the request, which operators can look up.
     pub request: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Describes a problem to its caller.
+/// Converts a problem into the body of its response.
 pub fn problem_json(problem: &Problem, request: Option<&str>) -> ProblemJson {
     ProblemJson {
         kind: "about:blank".to_string(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// The whole HTTP answer of a problem.
+/// HTTP response for a problem.
 pub(super) fn response(problem: &Problem, request: Option<&str>) -> Response<Cursor<Vec<u8>>> {
     let body = serde_json::to_vec(&problem_json(problem, request)).unwrap_or_default();
     let mut response = Response::from_data(body)
@@ -52,6 +52,6 @@
 }
 
 pub(super) fn header(name: &str, value: &str) -> Header {
-    // Invariant: names and values given here are plain ASCII.
+    // Invariant: callers pass only names and values in plain ASCII.
     Header::from_bytes(name, value).expect("header is plain ASCII")
 }
--- a/src/http/sse_writer.rs
+++ b/src/http/sse_writer.rs
@@ -6,18 +6,18 @@
 use super::problem_json;
 use crate::logic::router::Problem;
 
-/// Writes an answer as server-sent events of the chat-completions API.
+/// Writes a streamed answer as server-sent events of the chat-completions API.
 ///
-/// `tiny_http` holds streamed bodies back, so the head is written here and
-/// each piece is flushed through both writers.
+/// `tiny_http` buffers streamed bodies, so the response head is written here, and
+/// after each event both the chunk encoder and the connection are flushed.
 pub(super) struct SseWriter {
-    encoder: Encoder<FlushLast>,
+    encoder: Encoder<FlushOnDrop>,
     request: String,
     model: String,
 }
 
 impl SseWriter {
-    /// Writes the head.
+    /// Writes the response head.
     pub fn begin(
         mut writer: Box<dyn Write + Send>,
         request: &str,
@@ -30,55 +30,55 @@
         )?;
         writer.flush()?;
         Ok(Self {
-            encoder: Encoder::with_flush_after_write(FlushLast(writer)),
+            encoder: Encoder::with_flush_after_write(FlushOnDrop(writer)),
             request: request.to_string(),
             model: model.to_string(),
         })
     }
 
     /// Writes one piece of text.
-    pub fn piece(&mut self, text: &str) -> io::Result<()> {
-        self.chunk(json!({ "content": text }), None)
+    pub fn write_piece(&mut self, text: &str) -> io::Result<()> {
+        self.write_chunk(json!({ "content": text }), None)
     }
 
     /// Writes the end of a complete answer.
-    pub fn finish(mut self) -> io::Result<()> {
-        self.chunk(json!({}), Some("stop"))?;
-        self.event("data: [DONE]\n\n")?;
+    pub fn write_end(mut self) -> io::Result<()> {
+        self.write_chunk(json!({}), Some("stop"))?;
+        self.write_event("data: [DONE]\n\n")?;
         Ok(())
     }
 
-    /// Writes a problem; no `[DONE]` follows, so that it can't pass for an end.
-    pub fn fail(mut self, problem: &Problem) -> io::Result<()> {
+    /// Writes a problem; no `[DONE]` follows, so that the caller can't take the answer for
+    /// a complete one.
+    pub fn write_problem(mut self, problem: &Problem) -> io::Result<()> {
         let body = serde_json::to_string(&problem_json(problem, Some(&self.request)))?;
-        self.event(&format!("event: error\ndata: {body}\n\n"))?;
+        self.write_event(&format!("event: error\ndata: {body}\n\n"))?;
         Ok(())
     }
 
-    fn chunk(&mut self, delta: serde_json::Value, finish: Option<&str>) -> io::Result<()> {
+    fn write_chunk(&mut self, delta: serde_json::Value, finish: Option<&str>) -> io::Result<()> {
         let body = json!({
             "id": self.request,
             "object": "chat.completion.chunk",
             "model": self.model,
             "choices": [{ "index": 0, "delta": delta, "finish_reason": finish }],
         });
-        self.event(&format!("data: {body}\n\n"))
+        self.write_event(&format!("data: {body}\n\n"))
     }
 
-    fn event(&mut self, text: &str) -> io::Result<()> {
+    fn write_event(&mut self, text: &str) -> io::Result<()> {
         self.encoder.write_all(text.as_bytes())?;
         self.encoder.flush()?;
         self.encoder.get_mut().flush()
     }
 }
 
-/// Flushes once more when it is dropped.
+/// Flushes the connection when dropped.
 ///
-/// The encoder writes the last chunk when it is dropped itself, and drops its
-/// writer after that.
-struct FlushLast(Box<dyn Write + Send>);
+/// The encoder writes the last chunk in its own `drop` and drops this writer after that.
+struct FlushOnDrop(Box<dyn Write + Send>);
 
-impl Write for FlushLast {
+impl Write for FlushOnDrop {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.write(bytes)
     }
@@ -88,9 +88,9 @@
     }
 }
 
-impl Drop for FlushLast {
+impl Drop for FlushOnDrop {
     fn drop(&mut self) {
-        // A caller that has hung up needs no end.
+        // If the caller has disconnected, the last chunk isn't needed.
         let _ = self.0.flush();
     }
 }
--- a/src/wire/challenge.rs
+++ b/src/wire/challenge.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// First frame of a session, from the side that was dialled.
+/// First frame of a session, sent by the side that was dialled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Challenge {
     /// Protocol version.
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -2,44 +2,44 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Longest frame, in bytes; longer ones end the session.
-pub const FRAME_LIMIT: usize = 4 * 1024 * 1024;
-/// Deepest nesting of a frame that is read.
-const DEPTH_LIMIT: usize = 64;
+/// Maximum length of a frame; a longer one ends the session.
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum nesting depth of a frame that is decoded.
+const MAX_DEPTH: usize = 64;
 
-/// Why a frame couldn't be read or written.
+/// Why a frame couldn't be encoded or decoded.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum CodecError {
-    /// frame of {0} bytes, expected at most 4194304
+    /// frame has {0} bytes, expected at most 4194304
     TooLong(usize),
-    /// frame isn't a message of this protocol version: {0}
+    /// frame is not a valid message of this protocol version: {0}
     Malformed(String),
 }
 
 impl std::error::Error for CodecError {}
 
-/// Writes a value as CBOR.
+/// Encodes a value as CBOR.
 ///
 /// # Errors
-/// Returns an error for a value that is longer than a frame may be.
+/// Returns an error if the value can't be encoded or the frame would be too long.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, CodecError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).map_err(|e| CodecError::Malformed(e.to_string()))?;
-    if bytes.len() > FRAME_LIMIT {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(CodecError::TooLong(bytes.len()));
     }
     Ok(bytes)
 }
 
-/// Reads a value from CBOR; unknown fields are passed over.
+/// Decodes a value from CBOR; unknown fields are ignored.
 ///
 /// # Errors
-/// Returns an error for frames that are too long, cut off, nested too deeply or
-/// of another form.
+/// Returns an error for frames that are too long, truncated, nested too deeply or
+/// not of the expected type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
-    if bytes.len() > FRAME_LIMIT {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(CodecError::TooLong(bytes.len()));
     }
-    ciborium::de::from_reader_with_recursion_limit(bytes, DEPTH_LIMIT)
+    ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH)
         .map_err(|e| CodecError::Malformed(e.to_string()))
 }
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,7 +1,8 @@
-//! Both sides prove that they hold the fleet's key, before any message.
+//! Mutual authentication with the fleet's key, before any message is exchanged.
 //!
-//! The proof is HMAC-SHA256 over both nonces and all that the sender says of
-//! itself. It keeps strangers out; it doesn't hide or protect what follows.
+//! The proof is an HMAC-SHA256 over both nonces, the sender's identity and the
+//! receiver's id. It keeps other processes out; the messages that follow are neither
+//! encrypted nor signed.
 
 use displaydoc::Display;
 use hmac::{Hmac, KeyInit, Mac};
@@ -14,30 +15,31 @@
 /// Why a handshake failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub(super) enum HandshakeError {
-    /// found protocol version {0}, expected 1
+    /// protocol version mismatch: found {0}, expected 1
     Version(u32),
-    /// meant for {0}, which isn't this instance
+    /// meant for {0}, which is not this instance
     WrongInstance(InstanceId),
-    /// the other side doesn't hold the fleet's key
+    /// the peer does not hold the fleet's key
     Proof,
 }
 
-/// Which side a proof comes from; keeps one from being sent back as the other.
+/// Side that made a proof; it is part of the proof, so that a proof can't be reflected
+/// to its sender.
 #[derive(Clone, Copy)]
 enum Side {
-    Dialler,
-    Dialled,
+    Initiator,
+    Responder,
 }
 
-pub(super) fn challenge() -> Challenge {
+pub(super) fn new_challenge() -> Challenge {
     Challenge {
         version: PROTOCOL_VERSION,
-        nonce: nonce(),
+        nonce: random_nonce(),
     }
 }
 
-pub(super) fn hello(me: &Identity, to: &InstanceId, challenge: &Challenge) -> Hello {
-    let nonce = nonce();
+pub(super) fn build_hello(me: &Identity, to: &InstanceId, challenge: &Challenge) -> Hello {
+    let nonce = random_nonce();
     Hello {
         version: PROTOCOL_VERSION,
         id: me.id.clone(),
@@ -45,9 +47,9 @@
         incarnation: me.incarnation,
         role: me.role,
         nonce,
-        proof: proof(
+        proof: build_proof(
             me,
-            Side::Dialler,
+            Side::Initiator,
             &challenge.nonce,
             &nonce,
             &me.as_peer(),
@@ -64,8 +66,8 @@
     }
 }
 
-/// Checks a hello; returns its sender and the answer.
-pub(super) fn accept(
+/// Verifies a hello; returns its sender and the welcome to answer with.
+pub(super) fn check_hello(
     me: &Identity,
     challenge: &Challenge,
     hello: &Hello,
@@ -79,9 +81,9 @@
         incarnation: hello.incarnation,
         role: hello.role,
     };
-    let mac = mac(
+    let mac = proof_mac(
         me,
-        Side::Dialler,
+        Side::Initiator,
         &challenge.nonce,
         &hello.nonce,
         &peer,
@@ -94,9 +96,9 @@
         id: me.id.clone(),
         incarnation: me.incarnation,
         role: me.role,
-        proof: proof(
+        proof: build_proof(
             me,
-            Side::Dialled,
+            Side::Responder,
             &challenge.nonce,
             &hello.nonce,
             &own,
@@ -106,8 +108,8 @@
     Ok((peer, welcome))
 }
 
-/// Checks a welcome; returns its sender.
-pub(super) fn welcomed(
+/// Verifies a welcome; returns its sender.
+pub(super) fn check_welcome(
     me: &Identity,
     to: &InstanceId,
     challenge: &Challenge,
@@ -122,9 +124,9 @@
         incarnation: welcome.incarnation,
         role: welcome.role,
     };
-    let mac = mac(
+    let mac = proof_mac(
         me,
-        Side::Dialled,
+        Side::Responder,
         &challenge.nonce,
         &hello.nonce,
         &peer,
@@ -135,12 +137,12 @@
     Ok(peer)
 }
 
-fn nonce() -> [u8; 16] {
-    let high = fastrand::u128(..);
-    high.to_be_bytes()
+fn random_nonce() -> [u8; 16] {
+    let bits = fastrand::u128(..);
+    bits.to_be_bytes()
 }
 
-fn proof(
+fn build_proof(
     me: &Identity,
     side: Side,
     challenge: &[u8],
@@ -148,11 +150,11 @@
     sender: &Peer,
     to: &InstanceId,
 ) -> Vec<u8> {
-    let mac = mac(me, side, challenge, nonce, sender, to);
+    let mac = proof_mac(me, side, challenge, nonce, sender, to);
     mac.finalize().into_bytes().to_vec()
 }
 
-fn mac(
+fn proof_mac(
     me: &Identity,
     side: Side,
     challenge: &[u8],
@@ -160,21 +162,21 @@
     sender: &Peer,
     to: &InstanceId,
 ) -> Hmac<Sha256> {
-    // Invariant: HMAC takes keys of any length.
-    let mut mac = Hmac::<Sha256>::new_from_slice(&me.key).expect("HMAC takes any key");
-    let mut part = |bytes: &[u8]| {
+    // Invariant: HMAC accepts keys of any length.
+    let mut mac = Hmac::<Sha256>::new_from_slice(&me.key).expect("HMAC accepts keys of any length");
+    let mut update = |bytes: &[u8]| {
         mac.update(&(bytes.len() as u64).to_be_bytes());
         mac.update(bytes);
     };
-    part(&[side as u8]);
-    part(challenge);
-    part(nonce);
-    part(sender.id.as_str().as_bytes());
-    part(&sender.incarnation.to_be_bytes());
-    part(&[match sender.role {
+    update(&[side as u8]);
+    update(challenge);
+    update(nonce);
+    update(sender.id.as_str().as_bytes());
+    update(&sender.incarnation.to_be_bytes());
+    update(&[match sender.role {
         PeerRole::Router => 0,
         PeerRole::Agent => 1,
     }]);
-    part(to.as_str().as_bytes());
+    update(to.as_str().as_bytes());
     mac
 }
--- a/src/wire/identity.rs
+++ b/src/wire/identity.rs
@@ -3,21 +3,21 @@
 use crate::logic::{Peer, PeerRole};
 use crate::types::InstanceId;
 
-/// Who a process is, and the key that it shares with its fleet.
+/// Identity of a process, and the key that it shares with its fleet.
 #[derive(Clone)]
 pub struct Identity {
-    /// Own instance.
+    /// Instance that the process runs on.
     pub id: InstanceId,
-    /// Own incarnation.
+    /// Random number that tells this process from earlier ones of the instance.
     pub incarnation: u64,
-    /// Own role.
+    /// Role of the process.
     pub role: PeerRole,
     /// The fleet's key.
     pub key: Arc<[u8]>,
 }
 
 impl Identity {
-    /// The process as its peers see it.
+    /// The identity without the key, as it is sent to peers.
     pub fn as_peer(&self) -> Peer {
         Peer {
             id: self.id.clone(),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -12,7 +12,7 @@
 mod welcome;
 
 pub use challenge::Challenge;
-pub use codec::{decode, encode, CodecError, FRAME_LIMIT};
+pub use codec::{decode, encode, CodecError, MAX_FRAME_BYTES};
 pub use hello::Hello;
 pub use identity::Identity;
 pub use net::{Net, NetSettings};
--- a/src/wire/net.rs
+++ b/src/wire/net.rs
@@ -14,19 +14,20 @@
 use crate::message::Message;
 use crate::types::InstanceId;
 
-/// Messages that may wait on one session; one more ends it.
-const QUEUE: usize = 4_096;
-/// Wait before a session is dialled again: the first and the longest.
-const REDIAL: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
+/// Maximum number of messages queued on a session; one more ends the session.
+const MAX_QUEUED: usize = 4_096;
+/// Wait before a session is dialled again: after a session that was open, and at most.
+/// It doubles with each failure.
+const REDIAL_WAITS: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
-/// How sessions are opened and watched.
+/// Settings of the sessions of a process.
 #[derive(Clone, Debug)]
 pub struct NetSettings {
-    /// Address to listen on; port 0 takes any.
+    /// Address to listen on; with port 0 the system chooses a free port.
     pub listen: SocketAddr,
-    /// Time without a frame after which a ping goes out.
+    /// Interval of pings; without a frame for three times this long, a session ends.
     pub idle: Duration,
-    /// Most sessions that others may open.
+    /// Maximum number of open sessions that were dialled by other processes.
     pub sessions: usize,
 }
 
@@ -48,8 +49,9 @@
 
 type SessionKey = (InstanceId, Direction);
 
-/// An open session as the table holds it.
-struct Open {
+/// An open session in the table.
+struct OpenSession {
+    /// Distinguishes the session from a later one with the same key.
     serial: u64,
     sender: mpsc::Sender<Message>,
 }
@@ -57,22 +59,22 @@
 struct Shared {
     me: Identity,
     settings: NetSettings,
-    open: Mutex<Table>,
-    /// Sessions whose tasks run.
+    table: Mutex<SessionTable>,
+    /// Number of sessions whose tasks are running.
     running: AtomicUsize,
-    /// Whether nothing is dialled any more.
+    /// Whether the process is shutting down and dials no more sessions.
     closing: AtomicBool,
     events: Box<dyn Fn(NetEvent) + Send + Sync>,
 }
 
 #[derive(Default)]
-struct Table {
+struct SessionTable {
     serial: u64,
-    sessions: HashMap<SessionKey, Open>,
+    sessions: HashMap<SessionKey, OpenSession>,
     diallers: HashMap<InstanceId, JoinHandle<()>>,
 }
 
-/// All sessions of a process. Its tasks run on a thread of their own.
+/// All sessions of a process; their tasks run on a dedicated thread.
 #[derive(Clone)]
 pub struct Net {
     shared: Arc<Shared>,
@@ -81,10 +83,11 @@
 }
 
 impl Net {
-    /// Listens and starts the thread; `events` is called on it.
+    /// Starts listening and the thread of the sessions. `events` is called on that thread,
+    /// and by [`Net::send`] and [`Net::hangup`] on their caller's.
     ///
     /// # Errors
-    /// Returns the error of the listening socket.
+    /// Returns the error of the runtime, the listening socket or the thread.
     pub fn start(
         me: Identity,
         settings: NetSettings,
@@ -98,7 +101,7 @@
         let shared = Arc::new(Shared {
             me,
             settings,
-            open: Mutex::default(),
+            table: Mutex::default(),
             running: AtomicUsize::new(0),
             closing: AtomicBool::new(false),
             events: Box::new(events),
@@ -107,7 +110,7 @@
         let accepting = shared.clone();
         std::thread::Builder::new()
             .name("net".into())
-            .spawn(move || runtime.block_on(accept_all(accepting, listener)))?;
+            .spawn(move || runtime.block_on(accept_sessions(accepting, listener)))?;
         Ok(Net {
             shared,
             runtime: handle,
@@ -115,14 +118,16 @@
         })
     }
 
-    /// Address it listens on.
+    /// Address that is listened on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends a message; it is dropped where there is no session.
+    /// Queues a message for a peer; it is dropped if there is no session with it.
+    ///
+    /// If the queue is full, the session is closed.
     pub fn send(&self, to: &InstanceId, message: Message) {
-        let mut table = lock(&self.shared);
+        let mut table = lock_table(&self.shared);
         let dialled = (to.clone(), Direction::Dialled);
         let accepted = (to.clone(), Direction::Accepted);
         let key = if table.sessions.contains_key(&dialled) {
@@ -135,7 +140,7 @@
             None => false,
         };
         if full {
-            // Dropping the sender ends the session, so that nothing is lost unseen.
+            // Dropping the sender ends the session, so that the loss of the message is seen.
             table.sessions.remove(&key);
             let gone = !has_session(&table, to);
             drop(table);
@@ -145,32 +150,33 @@
         }
     }
 
-    /// Keeps a session with a peer open until [`Net::hangup`].
+    /// Opens a session with a peer, and opens it again whenever it ends, until
+    /// [`Net::hangup`].
     pub fn dial(&self, to: &InstanceId, addr: SocketAddr) {
         let shared = self.shared.clone();
         let target = to.clone();
-        let mut table = lock(&self.shared);
+        let mut table = lock_table(&self.shared);
         if let Some(old) = table.diallers.remove(to) {
             old.abort();
         }
-        let task = self.runtime.spawn(dial_forever(shared, target, addr));
+        let task = self.runtime.spawn(keep_session(shared, target, addr));
         table.diallers.insert(to.clone(), task);
     }
 
-    /// Sends what waits, closes every session, and waits for that a bounded time.
+    /// Sends the queued messages and closes every session; waits at most `limit` for that.
     pub fn finish(&self, limit: Duration) {
         self.shared.closing.store(true, Ordering::SeqCst);
-        // A session whose sender is gone ends once its queue is sent.
-        lock(&self.shared).sessions.clear();
+        // A session whose sender was dropped ends once its queue is sent.
+        lock_table(&self.shared).sessions.clear();
         let start = Instant::now();
         while self.shared.running.load(Ordering::SeqCst) > 0 && start.elapsed() < limit {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Closes the session that was dialled and stops dialling.
+    /// Closes the session with a peer that this process dialled, and stops dialling it.
     pub fn hangup(&self, to: &InstanceId) {
-        let mut table = lock(&self.shared);
+        let mut table = lock_table(&self.shared);
         if let Some(task) = table.diallers.remove(to) {
             task.abort();
         }
@@ -183,70 +189,71 @@
     }
 }
 
-fn lock(shared: &Shared) -> std::sync::MutexGuard<'_, Table> {
-    // A panic while the table is held would be a broken invariant already.
-    shared.open.lock().unwrap_or_else(|e| e.into_inner())
+fn lock_table(shared: &Shared) -> std::sync::MutexGuard<'_, SessionTable> {
+    // A poisoned lock is ignored: a panic while it is held already means a broken invariant.
+    shared.table.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn has_session(table: &Table, id: &InstanceId) -> bool {
-    let held = |d| table.sessions.contains_key(&(id.clone(), d));
-    held(Direction::Dialled) || held(Direction::Accepted)
+fn has_session(table: &SessionTable, id: &InstanceId) -> bool {
+    let has = |d| table.sessions.contains_key(&(id.clone(), d));
+    has(Direction::Dialled) || has(Direction::Accepted)
 }
 
-async fn accept_all(shared: Arc<Shared>, listener: TcpListener) {
+async fn accept_sessions(shared: Arc<Shared>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(shared.settings.sessions));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(REDIAL[0]).await;
+            tokio::time::sleep(REDIAL_WAITS[0]).await;
             continue;
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            refused(&shared, from.to_string(), "too many sessions".into());
+            notify_refused(&shared, from.to_string(), "too many sessions".into());
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            if let Err(why) = accept_one(&shared, stream).await {
-                refused(&shared, from.to_string(), why);
+            if let Err(why) = accept_session(&shared, stream).await {
+                notify_refused(&shared, from.to_string(), why);
             }
             drop(permit);
         });
     }
 }
 
-fn refused(shared: &Shared, peer: String, why: String) {
+fn notify_refused(shared: &Shared, peer: String, why: String) {
     (shared.events)(NetEvent::Refused { peer, why });
 }
 
-async fn accept_one(shared: &Arc<Shared>, stream: TcpStream) -> Result<(), String> {
+async fn accept_session(shared: &Arc<Shared>, stream: TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let upgrade = tokio_tungstenite::accept_async_with_config(stream, Some(session::config()));
-    let mut socket = tokio::time::timeout(session::HANDSHAKE_TIME, upgrade)
+    let upgrade =
+        tokio_tungstenite::accept_async_with_config(stream, Some(session::websocket_config()));
+    let mut socket = tokio::time::timeout(session::HANDSHAKE_TIMEOUT, upgrade)
         .await
-        .map_err(|_| "no handshake in time".to_string())?
+        .map_err(|_| "the handshake timed out".to_string())?
         .map_err(|e| e.to_string())?;
-    let challenge = handshake::challenge();
-    session::put(&mut socket, &challenge).await?;
-    let hello: Hello = session::get(&mut socket).await?;
+    let challenge = handshake::new_challenge();
+    session::send_value(&mut socket, &challenge).await?;
+    let hello: Hello = session::receive_value(&mut socket).await?;
     let (peer, welcome) =
-        handshake::accept(&shared.me, &challenge, &hello).map_err(|e| e.to_string())?;
-    session::put(&mut socket, &welcome).await?;
-    run(shared, socket, peer, Direction::Accepted).await;
+        handshake::check_hello(&shared.me, &challenge, &hello).map_err(|e| e.to_string())?;
+    session::send_value(&mut socket, &welcome).await?;
+    run_session(shared, socket, peer, Direction::Accepted).await;
     Ok(())
 }
 
-async fn dial_forever(shared: Arc<Shared>, to: InstanceId, addr: SocketAddr) {
-    let mut wait = REDIAL[0];
+async fn keep_session(shared: Arc<Shared>, to: InstanceId, addr: SocketAddr) {
+    let mut wait = REDIAL_WAITS[0];
     let mut last = String::new();
     while !shared.closing.load(Ordering::SeqCst) {
-        match dial_one(&shared, &to, addr).await {
-            Ok(()) => wait = REDIAL[0],
+        match dial_session(&shared, &to, addr).await {
+            Ok(()) => wait = REDIAL_WAITS[0],
             Err(why) => {
                 if why != last {
-                    refused(&shared, to.to_string(), why.clone());
+                    notify_refused(&shared, to.to_string(), why.clone());
                     last = why;
                 }
-                wait = (wait * 2).min(REDIAL[1]);
+                wait = (wait * 2).min(REDIAL_WAITS[1]);
             }
         }
         let jitter = Duration::from_millis(fastrand::u64(0..50));
@@ -254,46 +261,51 @@
     }
 }
 
-async fn dial_one(shared: &Arc<Shared>, to: &InstanceId, addr: SocketAddr) -> Result<(), String> {
-    let connect = tokio::time::timeout(session::HANDSHAKE_TIME, TcpStream::connect(addr));
+async fn dial_session(
+    shared: &Arc<Shared>,
+    to: &InstanceId,
+    addr: SocketAddr,
+) -> Result<(), String> {
+    let connect = tokio::time::timeout(session::HANDSHAKE_TIMEOUT, TcpStream::connect(addr));
     let stream = connect
         .await
-        .map_err(|_| "no connection in time".to_string())?
+        .map_err(|_| "the connection timed out".to_string())?
         .map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
     let url = format!("ws://{addr}/");
-    let upgrade = tokio_tungstenite::client_async_with_config(url, stream, Some(session::config()));
-    let (mut socket, _) = tokio::time::timeout(session::HANDSHAKE_TIME, upgrade)
+    let upgrade =
+        tokio_tungstenite::client_async_with_config(url, stream, Some(session::websocket_config()));
+    let (mut socket, _) = tokio::time::timeout(session::HANDSHAKE_TIMEOUT, upgrade)
         .await
-        .map_err(|_| "no handshake in time".to_string())?
+        .map_err(|_| "the handshake timed out".to_string())?
         .map_err(|e| e.to_string())?;
-    let challenge: Challenge = session::get(&mut socket).await?;
+    let challenge: Challenge = session::receive_value(&mut socket).await?;
     handshake::check_version(challenge.version).map_err(|e| e.to_string())?;
-    let hello = handshake::hello(&shared.me, to, &challenge);
-    session::put(&mut socket, &hello).await?;
-    let welcome: Welcome = session::get(&mut socket).await?;
-    let peer = handshake::welcomed(&shared.me, to, &challenge, &hello, &welcome)
+    let hello = handshake::build_hello(&shared.me, to, &challenge);
+    session::send_value(&mut socket, &hello).await?;
+    let welcome: Welcome = session::receive_value(&mut socket).await?;
+    let peer = handshake::check_welcome(&shared.me, to, &challenge, &hello, &welcome)
         .map_err(|e| e.to_string())?;
-    run(shared, socket, peer, Direction::Dialled).await;
+    run_session(shared, socket, peer, Direction::Dialled).await;
     Ok(())
 }
 
-/// Takes the session out of the table when its task ends or is aborted.
-struct Registered<'a> {
+/// Removes the session from the table when its task ends or is aborted.
+struct SessionGuard<'a> {
     shared: &'a Shared,
     key: SessionKey,
     serial: u64,
 }
 
-impl Drop for Registered<'_> {
+impl Drop for SessionGuard<'_> {
     fn drop(&mut self) {
         self.shared.running.fetch_sub(1, Ordering::SeqCst);
-        let mut table = lock(self.shared);
-        let own = table
+        let mut table = lock_table(self.shared);
+        let is_current = table
             .sessions
             .get(&self.key)
             .is_some_and(|o| o.serial == self.serial);
-        if !own {
+        if !is_current {
             return;
         }
         table.sessions.remove(&self.key);
@@ -305,25 +317,27 @@
     }
 }
 
-async fn run(shared: &Arc<Shared>, socket: Socket, peer: Peer, direction: Direction) {
-    let (sender, receiver) = mpsc::channel(QUEUE);
+async fn run_session(shared: &Arc<Shared>, socket: Socket, peer: Peer, direction: Direction) {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED);
     let key = (peer.id.clone(), direction);
     let serial = {
-        let mut table = lock(shared);
+        let mut table = lock_table(shared);
         table.serial += 1;
         let serial = table.serial;
-        table.sessions.insert(key.clone(), Open { serial, sender });
+        table
+            .sessions
+            .insert(key.clone(), OpenSession { serial, sender });
         serial
     };
     shared.running.fetch_add(1, Ordering::SeqCst);
-    let _registered = Registered {
+    let _guard = SessionGuard {
         shared,
         key,
         serial,
     };
     (shared.events)(NetEvent::Up(peer.clone()));
     let from = peer.clone();
-    session::carry(socket, receiver, shared.settings.idle, |message| {
+    session::run(socket, receiver, shared.settings.idle, |message| {
         (shared.events)(NetEvent::Message {
             from: from.clone(),
             message,
--- a/src/wire/net_event.rs
+++ b/src/wire/net_event.rs
@@ -2,25 +2,25 @@
 use crate::message::Message;
 use crate::types::InstanceId;
 
-/// What the network tells a process.
+/// Event of the sessions of a process.
 #[derive(Clone, Debug)]
 pub enum NetEvent {
-    /// A session has opened, perhaps in place of one that is now closed.
+    /// A session was opened; it may replace an earlier one with the same peer.
     Up(Peer),
-    /// The last session with a peer has closed.
+    /// The last session with a peer was closed.
     Down(InstanceId),
-    /// A message has arrived.
+    /// A message was received.
     Message {
         /// Sender.
         from: Peer,
         /// The message.
         message: Message,
     },
-    /// A session was refused.
+    /// A session could not be opened, or was refused by one of the sides.
     Refused {
-        /// Address or instance at the other end.
+        /// Address of a process that connected, or instance that was dialled.
         peer: String,
-        /// Why.
+        /// Reason.
         why: String,
     },
 }
--- a/src/wire/protocol.rs
+++ b/src/wire/protocol.rs
@@ -1,2 +1,2 @@
-/// Version of the protocol between processes; another one ends the session.
+/// Version of the protocol between processes; a peer with another version is refused.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/src/wire/welcome.rs
+++ b/src/wire/welcome.rs
@@ -2,7 +2,7 @@
 use crate::types::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// Third frame, from the side that was dialled.
+/// Third frame of a session, sent by the side that was dialled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// Instance of the sender.
--- a/tests/contract/frames.rs
+++ b/tests/contract/frames.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use runrail::message::{Message, RunId};
 use runrail::types::{Brief, RequestId};
-use runrail::wire::{decode, encode, CodecError, FRAME_LIMIT};
+use runrail::wire::{decode, encode, CodecError, MAX_FRAME_BYTES};
 use serde::Serialize;
 
 #[test]
@@ -50,12 +50,12 @@
 
 #[test]
 fn long_and_deep_frames_are_refused() {
-    let long = vec![0; FRAME_LIMIT + 1];
+    let long = vec![0; MAX_FRAME_BYTES + 1];
     assert_eq!(
         decode::<Message>(&long),
-        Err(CodecError::TooLong(FRAME_LIMIT + 1))
+        Err(CodecError::TooLong(MAX_FRAME_BYTES + 1))
     );
-    assert!(encode(&"x".repeat(FRAME_LIMIT)).is_err());
+    assert!(encode(&"x".repeat(MAX_FRAME_BYTES)).is_err());
     let deep = vec![0x81; 100_000];
     assert!(matches!(
         decode::<Message>(&deep),
