--- a/src/cli/bundle_command.rs
+++ b/src/cli/bundle_command.rs
@@ -1,12 +1,12 @@
 use pico_args::Arguments;
 use serde::Deserialize;
 
-use super::command::no_more;
+use super::command::reject_rest;
 use super::operator_client::OperatorClient;
 use super::{CliError, CliErrorKind};
 use crate::http::BundleRow;
 
-/// What can be done with bundles.
+/// Actions of the command.
 const VERBS: [&str; 4] = ["submit", "approve", "roll", "status"];
 
 #[derive(Deserialize)]
@@ -15,7 +15,7 @@
     bundles: Vec<BundleRow>,
 }
 
-/// Submits, approves, rolls or lists bundles.
+/// Runs `bundle`: submits, approves, rolls or lists bundles.
 pub(super) fn bundle(mut args: Arguments) -> Result<(), CliError> {
     let verb = args.subcommand().ok().flatten().unwrap_or_default();
     if !VERBS.contains(&verb.as_str()) {
@@ -26,21 +26,21 @@
     match verb.as_str() {
         "submit" => submit(&client, args),
         "status" => {
-            no_more(args, "bundle")?;
+            reject_rest(args, "bundle")?;
             list(&client)
         }
         verb => change(&client, verb, args),
     }
 }
 
-fn free(args: &mut Arguments, what: &str) -> Result<String, CliError> {
+fn positional(args: &mut Arguments, name: &str) -> Result<String, CliError> {
     args.free_from_str()
-        .map_err(|_| CliError::usage(format!("{what} is missing"), "bundle"))
+        .map_err(|_| CliError::usage(format!("{name} is missing"), "bundle"))
 }
 
 fn submit(client: &OperatorClient, mut args: Arguments) -> Result<(), CliError> {
-    let file = free(&mut args, "FILE")?;
-    no_more(args, "bundle")?;
+    let file = positional(&mut args, "FILE")?;
+    reject_rest(args, "bundle")?;
     let body = std::fs::read_to_string(&file)
         .map_err(|e| CliError::new(CliErrorKind::File, format!("{file}: {e}")))?;
     let answer = client.post("bundles", &body)?;
@@ -51,8 +51,8 @@
 }
 
 fn change(client: &OperatorClient, verb: &str, mut args: Arguments) -> Result<(), CliError> {
-    let number = free(&mut args, "NUMBER")?;
-    no_more(args, "bundle")?;
+    let number = positional(&mut args, "NUMBER")?;
+    reject_rest(args, "bundle")?;
     client.post(&format!("bundles/{number}/{verb}"), "")?;
     let done = if verb == "roll" {
         "in force"
--- a/src/cli/check_command.rs
+++ b/src/cli/check_command.rs
@@ -2,17 +2,17 @@
 
 use pico_args::Arguments;
 
-use super::command::{no_more, optional};
+use super::command::{optional_value, reject_rest};
 use super::{CliError, CliErrorKind};
 use crate::settings::{AgentSettings, DirectSettings, RouterSettings};
 use crate::types::{BundleBody, BundleFault};
 
-/// Checks files and lists all their faults.
+/// Runs `check`: checks files and reports all their faults.
 pub(super) fn check(mut args: Arguments) -> Result<(), CliError> {
-    let settings = optional(&mut args, "--settings", "check")?;
-    let role = optional(&mut args, "--role", "check")?;
-    let bundle = optional(&mut args, "--bundle", "check")?;
-    no_more(args, "check")?;
+    let settings = optional_value(&mut args, "--settings", "check")?;
+    let role = optional_value(&mut args, "--role", "check")?;
+    let bundle = optional_value(&mut args, "--bundle", "check")?;
+    reject_rest(args, "check")?;
     if settings.is_none() && bundle.is_none() {
         return Err(CliError::usage(
             "neither --settings nor --bundle was given",
@@ -53,7 +53,7 @@
     let result = match role.unwrap_or(guessed) {
         "router" => RouterSettings::load(path).map(|_| ()),
         "agent" => AgentSettings::load(path).map(|_| ()),
-        "direct" => DirectSettings::load(path).map(|s| print_gaps(file, &s)),
+        "direct" => DirectSettings::load(path).map(|s| print_missing_values(file, &s)),
         other => {
             let message = format!("--role: found {other:?}, expected router, direct or agent");
             return Err(CliError::usage(message, "check"));
@@ -62,10 +62,10 @@
     Ok(result.map_err(|e| e.to_string()))
 }
 
-/// Names the figures that a file leaves empty; they are no fault.
-fn print_gaps(file: &str, settings: &DirectSettings) {
-    for gap in &settings.gaps {
-        println!("{file}: {gap}");
+/// Prints the values that a file lacks and what is used instead; they aren't faults.
+fn print_missing_values(file: &str, settings: &DirectSettings) {
+    for missing in &settings.gaps {
+        println!("{file}: {missing}");
     }
 }
 
--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -3,14 +3,14 @@
 
 use super::Exit;
 
-/// Why a command couldn't do what was asked.
+/// Error that ends a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CliError {
     /// Kind.
     pub kind: CliErrorKind,
     /// What was found and what was expected.
     pub message: String,
-    /// What to try.
+    /// What the user can try.
     pub hint: Option<String>,
 }
 
@@ -24,19 +24,19 @@
         }
     }
 
-    /// A usage error that points to the help of a command.
+    /// A usage error whose hint is the help of a command; "" means that of the program.
     pub fn usage(message: impl Into<String>, command: &str) -> Self {
         let hint = format!("`runrail {command} --help`").replace("  ", " ");
-        Self::new(CliErrorKind::Usage, message).try_this(&hint)
+        Self::new(CliErrorKind::Usage, message).with_hint(&hint)
     }
 
-    /// Adds what to try.
-    pub fn try_this(mut self, hint: &str) -> Self {
+    /// Adds a hint.
+    pub fn with_hint(mut self, hint: &str) -> Self {
         self.hint = Some(hint.to_string());
         self
     }
 
-    /// Exit code.
+    /// Exit code of the process.
     pub fn exit(&self) -> Exit {
         match self.kind {
             CliErrorKind::Usage | CliErrorKind::File => Exit::Usage,
--- a/src/cli/cli_error_kind.rs
+++ b/src/cli/cli_error_kind.rs
@@ -3,10 +3,10 @@
 pub enum CliErrorKind {
     /// The command line is wrong.
     Usage,
-    /// A file is wrong.
+    /// A file can't be read or has faults.
     File,
     /// The request was refused or failed.
     Refused,
-    /// The result isn't known.
+    /// The result is unknown.
     Unknown,
 }
--- a/src/cli/command.rs
+++ b/src/cli/command.rs
@@ -7,7 +7,7 @@
 use super::{serve_command, status_command};
 use super::{CliError, Exit};
 
-/// Runs the program with the arguments behind its name.
+/// Runs the program with its arguments, without the program's name.
 pub fn run(args: Vec<OsString>) -> ExitCode {
     match dispatch(Arguments::from_vec(args)) {
         Ok(()) => Exit::Done.into(),
@@ -60,8 +60,8 @@
     Err(CliError::usage("no command was given", ""))
 }
 
-/// Refuses arguments that nobody asked for.
-pub(super) fn no_more(args: Arguments, command: &str) -> Result<(), CliError> {
+/// Returns an error if unread arguments remain.
+pub(super) fn reject_rest(args: Arguments, command: &str) -> Result<(), CliError> {
     let rest = args.finish();
     if rest.is_empty() {
         return Ok(());
@@ -73,8 +73,8 @@
     ))
 }
 
-/// Takes an option with a value that must be given.
-pub(super) fn required(
+/// Reads the value of a required option.
+pub(super) fn required_value(
     args: &mut Arguments,
     name: &'static str,
     command: &str,
@@ -83,8 +83,8 @@
         .map_err(|_| CliError::usage(format!("{name} needs a value"), command))
 }
 
-/// Takes an option with a value that may be absent.
-pub(super) fn optional(
+/// Reads the value of an option that may be absent.
+pub(super) fn optional_value(
     args: &mut Arguments,
     name: &'static str,
     command: &str,
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -3,13 +3,13 @@
 /// Exit codes of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
     /// Refused or failed; nothing was changed.
     Failed = 1,
     /// The command line or a file is wrong.
     Usage = 2,
-    /// The result isn't known; look before trying again.
+    /// The result is unknown; check the state before retrying.
     Unknown = 3,
 }
 
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -1,4 +1,4 @@
-//! Help texts, one a command.
+//! Help texts of the program and of its commands.
 
 /// Help of the program.
 pub(super) const MAIN: &str = "\
@@ -16,45 +16,45 @@
   explain   Show what a router did about a group, an instance or a request
 
 Options:
-  -h, --help       Show help; `runrail <COMMAND> --help` shows a command's
+  -h, --help       Show help; `runrail <COMMAND> --help` shows help for a command
   -V, --version    Show the version
 
 Exit codes: 0 done, 1 refused or failed, 2 wrong command line or file,
-            3 result unknown (look before trying again)
+            3 result unknown (check the state before retrying)
 
 Example: runrail check --settings settings/router.ini
 ";
 
 pub(super) const ROUTER: &str = "\
-Run a router on an entry instance, until SIGTERM ends it in order
+Run a router on an entry instance until SIGTERM shuts it down
 
 Usage: runrail router --settings FILE
 
 Options:
       --settings FILE    INI file; settings/router.ini is a commented sample
 
-When it listens it prints `ready peers=ADDR callers=ADDR operators=ADDR`.
-The log goes to standard error; RUST_LOG sets its level (default: info).
+Once it listens, it prints `ready peers=ADDR callers=ADDR operators=ADDR`.
+The log goes to standard output; RUST_LOG sets its level (default: info).
 
 Example: runrail router --settings settings/router.ini
 ";
 
 pub(super) const AGENT: &str = "\
-Run an agent beside an endpoint, until SIGTERM ends it in order
+Run an agent beside an endpoint until SIGTERM shuts it down
 
 Usage: runrail agent --settings FILE
 
 Options:
       --settings FILE    INI file; settings/agent.ini is a commented sample
 
-When it listens it prints `ready peers=ADDR`.
-On SIGTERM it lets its group finish what is in flight before it ends.
+Once it listens, it prints `ready peers=ADDR`.
+On SIGTERM, its group finishes the in-flight requests before the agent exits.
 
 Example: runrail agent --settings settings/agent.ini
 ";
 
 pub(super) const CHECK: &str = "\
-Check files without starting anything; all faults are listed at once
+Check files without starting anything; lists all faults
 
 Usage: runrail check [--settings FILE] [--role router|agent] [--bundle FILE]
 
@@ -78,8 +78,8 @@
       --router ADDR        Operators' address of a router (or RUNRAIL_ROUTER)
       --token-file FILE    File with the operator's token (or RUNRAIL_TOKEN_FILE)
 
-Another operator than the author has to approve a bundle. A bundle that is in
-force never gives way to one with a lower number.
+A bundle must be approved by an operator other than its author. A bundle in force
+is never replaced by one with a lower number.
 
 Example: runrail bundle submit bundle.json --router 127.0.0.1:9002 --token-file anna.token
 ";
--- a/src/cli/metrics_command.rs
+++ b/src/cli/metrics_command.rs
@@ -2,20 +2,20 @@
 
 use pico_args::Arguments;
 
-use super::command::no_more;
+use super::command::reject_rest;
 use super::operator_client::OperatorClient;
 use super::{CliError, CliErrorKind};
 use crate::observe::HistogramRow;
 
 /// Width of the longest bar, in characters.
-const BAR: u64 = 40;
+const BAR_WIDTH: u64 = 40;
 
-/// Shows durations and counts.
+/// Runs `metrics`: prints durations and counts.
 pub(super) fn metrics(mut args: Arguments) -> Result<(), CliError> {
     let json = args.contains("--json");
     let bars = args.contains("--bars");
     let client = OperatorClient::from_args(&mut args, "metrics")?;
-    no_more(args, "metrics")?;
+    reject_rest(args, "metrics")?;
     let answer = client.get("metrics")?;
     if json {
         println!("{answer}");
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Rows as a table for a terminal.
+/// Formats rows as a table for a terminal.
 pub fn metrics_table(rows: &[HistogramRow]) -> String {
     let mut text = format!(
         "{:<16} {:<16} {:<12} {:>8} {:>8} {:>8} {:>8}\n",
@@ -47,10 +47,10 @@
     text
 }
 
-/// Durations as bars: `#` up to the median, `+` up to p95, `-` up to p99.
+/// Formats durations as bars: `#` up to the median, `+` up to p95, `-` up to p99.
 pub fn metrics_bars(rows: &[HistogramRow]) -> String {
     let longest = rows.iter().map(|r| r.p99).max().unwrap_or(0).max(1);
-    let width = |ms: u64| (ms * BAR).div_ceil(longest) as usize;
+    let width = |ms: u64| (ms * BAR_WIDTH).div_ceil(longest) as usize;
     let mut text = String::new();
     for r in rows.iter().filter(|r| r.p99 > 0) {
         let p50 = width(r.p50);
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -3,14 +3,14 @@
 use pico_args::Arguments;
 use serde_json::Value;
 
-use super::command::optional;
+use super::command::optional_value;
 use super::{CliError, CliErrorKind};
 use crate::http::ProblemJson;
 
-/// Time for one call; longer than the router's own limit.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of a call; longer than the 10 s within which the router answers.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Calls the operators' API of a router.
+/// Client of a router's API for operators.
 pub(super) struct OperatorClient {
     router: String,
     token: String,
@@ -18,7 +18,8 @@
 }
 
 impl OperatorClient {
-    /// Takes address and token from the command line or the environment.
+    /// Reads the router's address and the token file from the command line or the
+    /// environment.
     pub fn from_args(args: &mut Arguments, command: &str) -> Result<Self, CliError> {
         let router = option_or_env(args, "--router", "RUNRAIL_ROUTER", command)?;
         let file = option_or_env(args, "--token-file", "RUNRAIL_TOKEN_FILE", command)?;
@@ -30,7 +31,7 @@
             return Err(CliError::new(CliErrorKind::File, message));
         }
         let agent = ureq::Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false)
             .build()
             .into();
@@ -41,14 +42,14 @@
         })
     }
 
-    /// Reads something.
+    /// Sends a GET request.
     pub fn get(&self, path: &str) -> Result<Value, CliError> {
         let request = self.agent.get(self.url(path));
         let answer = request.header("Authorization", self.bearer()).call();
         self.read(answer)
     }
 
-    /// Changes something.
+    /// Sends a POST request.
     pub fn post(&self, path: &str, body: &str) -> Result<Value, CliError> {
         let request = self.agent.post(self.url(path));
         let answer = request.header("Authorization", self.bearer()).send(body);
@@ -67,30 +68,30 @@
         &self,
         answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<Value, CliError> {
-        let mut answer = answer.map_err(|e| self.unreached(&e))?;
+        let mut answer = answer.map_err(|e| self.call_error(&e))?;
         let text = answer
             .body_mut()
             .read_to_string()
-            .map_err(|e| self.unreached(&e))?;
+            .map_err(|e| self.call_error(&e))?;
         if answer.status().is_success() {
             return serde_json::from_str(&text).map_err(|e| {
                 CliError::new(
                     CliErrorKind::Refused,
-                    format!("{} answers no JSON: {e}", self.router),
+                    format!("{}: the response is not valid JSON: {e}", self.router),
                 )
             });
         }
         Err(match serde_json::from_str::<ProblemJson>(&text) {
             Ok(problem) if problem.outcome == "unknown" => {
                 CliError::new(CliErrorKind::Unknown, problem.detail)
-                    .try_this("`runrail bundle status` before trying again")
+                    .with_hint("`runrail bundle status` before trying again")
             }
             Ok(problem) => CliError::new(CliErrorKind::Refused, problem.detail),
             Err(_) => CliError::new(CliErrorKind::Refused, format!("status {}", answer.status())),
         })
     }
 
-    fn unreached(&self, error: &ureq::Error) -> CliError {
+    fn call_error(&self, error: &ureq::Error) -> CliError {
         let message = format!("{}: {error}", self.router);
         let refused = matches!(error, ureq::Error::ConnectionFailed)
             || matches!(error, ureq::Error::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused);
@@ -99,7 +100,7 @@
         } else {
             CliErrorKind::Unknown
         };
-        CliError::new(kind, message).try_this("another router's address with --router")
+        CliError::new(kind, message).with_hint("another router's address with --router")
     }
 }
 
@@ -109,7 +110,7 @@
     variable: &str,
     command: &str,
 ) -> Result<String, CliError> {
-    if let Some(value) = optional(args, name, command)? {
+    if let Some(value) = optional_value(args, name, command)? {
         return Ok(value);
     }
     std::env::var(variable).map_err(|_| {
--- a/src/cli/serve_command.rs
+++ b/src/cli/serve_command.rs
@@ -7,7 +7,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use super::command::{no_more, required};
+use super::command::{reject_rest, required_value};
 use super::{CliError, CliErrorKind};
 use crate::host::{run_agent, run_router, HostEvent, Inbox, Running};
 use crate::link::run_direct;
@@ -16,59 +16,59 @@
 use crate::platform;
 use crate::settings::{AgentSettings, DirectSettings, RouterSettings};
 
-/// Runs a router.
+/// Runs `router` until the process is shut down.
 pub(super) fn router(mut args: Arguments) -> Result<(), CliError> {
-    let file = required(&mut args, "--settings", "router")?;
-    no_more(args, "router")?;
+    let file = required_value(&mut args, "--settings", "router")?;
+    reject_rest(args, "router")?;
     let file = settings_file(&file)?;
     if DirectSettings::is_meant(&file) {
-        let settings = DirectSettings::load(&file).map_err(wrong_file)?;
+        let settings = DirectSettings::load(&file).map_err(file_error)?;
         let log = start_log()?;
         let ended = run_direct(&settings, platform::dialect());
-        log.wait(LAST_LINES);
-        return ended.map_err(cannot_start);
+        log.wait(LOG_FLUSH_TIMEOUT);
+        return ended.map_err(start_error);
     }
-    let settings = RouterSettings::load(&file).map_err(wrong_file)?;
+    let settings = RouterSettings::load(&file).map_err(file_error)?;
     let log = start_log()?;
-    serve(run_router(settings).map_err(cannot_start)?, &log)
+    serve(run_router(settings).map_err(start_error)?, &log)
 }
 
-/// Runs an agent.
+/// Runs `agent` until the process is shut down.
 pub(super) fn agent(mut args: Arguments) -> Result<(), CliError> {
-    let file = required(&mut args, "--settings", "agent")?;
-    no_more(args, "agent")?;
-    let settings = AgentSettings::load(&settings_file(&file)?).map_err(wrong_file)?;
+    let file = required_value(&mut args, "--settings", "agent")?;
+    reject_rest(args, "agent")?;
+    let settings = AgentSettings::load(&settings_file(&file)?).map_err(file_error)?;
     let log = start_log()?;
-    serve(run_agent(settings).map_err(cannot_start)?, &log)
+    serve(run_agent(settings).map_err(start_error)?, &log)
 }
 
-/// The file that is meant: `env:NAME` means the one that a variable names.
+/// Path of the settings file; `env:NAME` reads it from the environment variable NAME.
 fn settings_file(file: &str) -> Result<PathBuf, CliError> {
     let Some(name) = file.strip_prefix("env:") else {
         return Ok(PathBuf::from(file));
     };
     std::env::var_os(name).map(PathBuf::from).ok_or_else(|| {
-        let message = format!("the variable {name} is not set, which {file} names");
+        let message = format!("{file}: the environment variable {name} is not set");
         CliError::new(CliErrorKind::File, message)
     })
 }
 
-fn wrong_file(error: crate::settings::SettingsError) -> CliError {
+fn file_error(error: crate::settings::SettingsError) -> CliError {
     CliError::new(CliErrorKind::File, error.to_string())
 }
 
-fn cannot_start(error: std::io::Error) -> CliError {
+fn start_error(error: std::io::Error) -> CliError {
     let message = format!("the process can't start: {error}");
-    CliError::new(CliErrorKind::Refused, message).try_this("look at the addresses in [listen]")
+    CliError::new(CliErrorKind::Refused, message).with_hint("check the addresses in [listen]")
 }
 
-/// Longest time for the last lines of the log.
-const LAST_LINES: Duration = Duration::from_millis(300);
+/// Maximum wait at exit until the last lines of the log are written.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Starts the log on standard output, a line an event, its level first.
+/// Starts the log on standard output: one line for each event, its level first.
 fn start_log() -> Result<LogEnd, CliError> {
-    let (writer, end) = LogWriter::start(std::io::stdout()).map_err(cannot_start)?;
-    // Only a second start fails, and then the first one's log stands.
+    let (writer, end) = LogWriter::start(std::io::stdout()).map_err(start_error)?;
+    // This fails only if a logger is installed already, which then stays in use.
     let _ = env_logger::Builder::new()
         .filter_level(LevelFilter::Info)
         .parse_default_env()
@@ -85,7 +85,7 @@
     stop_on_signal(running.inbox())?;
     print_ready(&running);
     running.wait();
-    log.wait(LAST_LINES);
+    log.wait(LOG_FLUSH_TIMEOUT);
     Ok(())
 }
 
@@ -99,12 +99,12 @@
         line += &format!(" operators={operators}");
     }
     println!("{line}");
-    // Whoever started the process may have closed its end.
+    // The reader of standard output may have closed it.
     let _ = std::io::stdout().flush();
 }
 
 fn stop_on_signal(inbox: Inbox) -> Result<(), CliError> {
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(cannot_start)?;
+    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(start_error)?;
     std::thread::Builder::new()
         .name("signals".into())
         .spawn(move || {
@@ -112,6 +112,6 @@
                 inbox.send(HostEvent::Step(Event::Stop));
             }
         })
-        .map_err(cannot_start)?;
+        .map_err(start_error)?;
     Ok(())
 }
--- a/src/cli/status_command.rs
+++ b/src/cli/status_command.rs
@@ -2,16 +2,16 @@
 
 use pico_args::Arguments;
 
-use super::command::no_more;
+use super::command::reject_rest;
 use super::operator_client::OperatorClient;
 use super::{CliError, CliErrorKind};
 use crate::logic::router::FleetStatus;
 
-/// Shows the fleet.
+/// Runs `status`: prints the state of the fleet.
 pub(super) fn status(mut args: Arguments) -> Result<(), CliError> {
     let json = args.contains("--json");
     let client = OperatorClient::from_args(&mut args, "status")?;
-    no_more(args, "status")?;
+    reject_rest(args, "status")?;
     let answer = client.get("status")?;
     if json {
         println!("{answer}");
@@ -23,16 +23,16 @@
     Ok(())
 }
 
-/// The fleet as a table for a terminal.
+/// Formats the state of the fleet as a table for a terminal.
 pub fn status_table(status: &FleetStatus) -> String {
-    let yes = |b| if b { "yes" } else { "no" };
+    let yes_no = |b| if b { "yes" } else { "no" };
     let mut text = format!(
         "router {}  hall {}  planner {}  bundle {} (proved newest: {})  service {}  in flight {}\n",
         status.router,
         status.hall,
-        yes(status.planner),
+        yes_no(status.planner),
         status.bundle,
-        yes(status.proven),
+        yes_no(status.proven),
         if status.store_up { "up" } else { "DOWN" },
         status.requests,
     );
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! Serving system for large models whose replicas span several instances.
 //!
-//! The crate is one binary with two roles. A *router* runs on each entry
-//! instance, an *agent* beside each endpoint; routers with direct links need no agent. All decisions are made by one
-//! pure reducer, [`logic::step`]; everything else carries out its effects.
+//! The crate is one binary with two roles. A *router* runs on each entry instance,
+//! an *agent* beside each endpoint; routers with direct links need no agents. All
+//! decisions are made by one reducer without input or output, [`logic::step`]; the
+//! other modules carry out the effects that it returns.
 
 pub mod cli;
 pub mod endpoint;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `runrail` program; all it does is in the library.
+//! The `runrail` program; the library contains all of its code.
 
 use std::process::ExitCode;
 
--- a/tests/product/bundles.rs
+++ b/tests/product/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles are checked before they are stored.
+//! Checks of bundles, which report every fault.
 
 use runrail::types::{BundleBody, BundleFault};
 
--- a/tests/product/command_line.rs
+++ b/tests/product/command_line.rs
@@ -1,4 +1,4 @@
-//! Help, errors and exit codes.
+//! Help, errors and exit codes of the command line.
 
 use crate::{run, stderr, stdout};
 
--- a/tests/product/events.rs
+++ b/tests/product/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events agrees with the program.
+//! The catalogue of log events (docs/EVENTS.md) matches the code.
 
 use std::collections::BTreeSet;
 
@@ -25,12 +25,12 @@
     }
     assert!(
         listed.is_empty(),
-        "docs/EVENTS.md lists what isn't there: {listed:?}"
+        "docs/EVENTS.md lists events that the code lacks: {listed:?}"
     );
 }
 
 #[test]
-fn numbers_are_given_once() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<_> = NoteCode::ALL.iter().map(|c| c.number()).collect();
     assert_eq!(numbers.len(), NoteCode::ALL.len());
 }
@@ -55,6 +55,6 @@
             let next = code[at + name.len()..].chars().next();
             !next.is_some_and(char::is_alphanumeric)
         });
-        assert!(written, "{name} is in the catalogue but never written");
+        assert!(written, "{name} is defined but never logged");
     }
 }
--- a/tests/product/main.rs
+++ b/tests/product/main.rs
@@ -1,4 +1,4 @@
-//! What people see: command line, settings, events, bundles, tables.
+//! Tests of what users see: command line, settings, events, bundles, tables.
 
 mod bundles;
 mod command_line;
@@ -8,7 +8,7 @@
 
 use std::process::{Command, Output};
 
-/// Runs the program.
+/// Runs the binary without the environment variables of the operators' commands.
 fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_runrail"))
         .args(args)
--- a/tests/product/settings.rs
+++ b/tests/product/settings.rs
@@ -1,16 +1,16 @@
-//! Settings are checked as a whole; the samples are good.
+//! Checks of settings files, which report every fault; the samples have none.
 
 use std::path::Path;
 
 use crate::{run, stderr};
 
-fn folder() -> tempfile::TempDir {
+fn key_folder() -> tempfile::TempDir {
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("fleet.key"), "k".repeat(40)).expect("a file");
     dir
 }
 
-/// A sample with its key file in a folder of its own.
+/// Text of a sample that refers to the key file in `dir`.
 fn sample(name: &str, dir: &Path) -> String {
     let text = std::fs::read_to_string(format!("settings/{name}")).expect("a sample");
     let key = dir.join("fleet.key");
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn the_samples_are_good() {
-    let dir = folder();
+fn the_sample_settings_have_no_faults() {
+    let dir = key_folder();
     for name in ["router.ini", "agent.ini"] {
         let file = dir.path().join(name);
         std::fs::write(&file, sample(name, dir.path())).expect("a file");
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_file_with_five_faults_names_all_five() {
-    let dir = folder();
+    let dir = key_folder();
     let text = sample("agent.ini", dir.path())
         .replace("lease_ms = 3000", "lease_ms = soon")
         .replace("slots = 8", "slots = 0")
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn files_that_are_no_settings_are_named() {
-    let dir = folder();
+fn unreadable_settings_files_are_named() {
+    let dir = key_folder();
     let file = dir.path().join("broken.ini");
     std::fs::write(&file, "[instance\nid = x\n").expect("a file");
     for file in [file.display().to_string(), "missing.ini".into()] {
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_short_fleet_key_is_refused_without_being_shown() {
-    let dir = folder();
+    let dir = key_folder();
     std::fs::write(dir.path().join("fleet.key"), "secret").expect("a file");
     let file = dir.path().join("router.ini");
     std::fs::write(&file, sample("router.ini", dir.path())).expect("a file");
--- a/tests/product/tables.rs
+++ b/tests/product/tables.rs
@@ -1,4 +1,4 @@
-//! Tables and bars for a terminal.
+//! Tables and bars for a terminal, and the bound on the number of histograms.
 
 use runrail::cli::{metrics_bars, metrics_table, status_table};
 use runrail::logic::router::{FleetStatus, GroupStatus, Metric};
