--- a/src/endpoint/endpoint_client.rs
+++ b/src/endpoint/endpoint_client.rs
@@ -11,18 +11,18 @@
 use crate::message::RunId;
 use crate::types::ModelKind;
 
-/// Stack of a thread that carries one order, in bytes.
-const STACK: usize = 256 * 1024;
-/// Buffers of one connection, in bytes each; the library's own are 128 KiB.
-const BUFFER: usize = 16 * 1024;
-/// Longest answer of a plain service, in bytes.
-const ANSWER_LIMIT: u64 = 1024 * 1024;
-/// Status by which an endpoint refuses an order with an old fence.
-const FENCED: u16 = 412;
+/// Stack size of a thread that executes one order.
+const STACK_BYTES: usize = 256 * 1024;
+/// Size of each buffer of a connection; the library's default is 128 KiB.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum length of a response of a plain service.
+const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
+/// HTTP status with which an endpoint refuses an order with an old fence.
+const FENCED_STATUS: u16 = 412;
 
 type Events = Arc<dyn Fn(EndpointEvent) + Send + Sync>;
 
-/// Carries out orders to the endpoint, each on a thread of its own.
+/// Sends orders to the endpoint, each on its own thread.
 #[derive(Clone)]
 pub struct EndpointClient {
     settings: EndpointSettings,
@@ -32,7 +32,7 @@
 }
 
 impl EndpointClient {
-    /// A client that calls `events` on its threads.
+    /// A client that calls `events` on the threads of its orders.
     pub fn new(
         settings: EndpointSettings,
         clock: Clock,
@@ -40,8 +40,8 @@
     ) -> Self {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .input_buffer_size(BUFFER)
-            .output_buffer_size(BUFFER)
+            .input_buffer_size(BUFFER_BYTES)
+            .output_buffer_size(BUFFER_BYTES)
             .timeout_connect(Some(std::time::Duration::from_secs(2)))
             .timeout_recv_response(Some(settings.silence))
             .build()
@@ -54,14 +54,16 @@
         }
     }
 
-    /// Carries an order out.
+    /// Starts an order and returns; its result is passed to the callback.
+    ///
+    /// If no thread can be started, the callback gets the failure on the caller's thread.
     pub fn call(&self, call: EndpointCall) {
         let client = self.clone();
-        let failed = failure_of(&call);
+        let failed = failure_event(&call);
         let spawned = std::thread::Builder::new()
             .name("endpoint".into())
-            .stack_size(STACK)
-            .spawn(move || client.carry_out(call));
+            .stack_size(STACK_BYTES)
+            .spawn(move || client.execute(call));
         if spawned.is_err() {
             if let Some(event) = failed {
                 (self.events)(event);
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Asks an engine for its load from time to time; returns at once.
+    /// Starts a thread that requests the engine's status at the set interval.
     pub fn watch_status(&self) {
         if !self.settings.engine {
             return;
@@ -77,13 +79,13 @@
         let client = self.clone();
         let spawned = std::thread::Builder::new()
             .name("status".into())
-            .stack_size(STACK)
+            .stack_size(STACK_BYTES)
             .spawn(move || loop {
-                client.ask_status();
+                client.request_status();
                 std::thread::sleep(client.settings.status);
             });
         if let Err(e) = spawned {
-            log::warn!(target: "runrail", "the endpoint's load isn't watched: {e}");
+            log::warn!(target: "runrail", "the endpoint's status is not polled: {e}");
         }
     }
 
@@ -91,7 +93,7 @@
         format!("http://{}{path}", self.settings.addr)
     }
 
-    fn carry_out(&self, call: EndpointCall) {
+    fn execute(&self, call: EndpointCall) {
         match call {
             EndpointCall::Load(order) => self.load(&order),
             EndpointCall::Start(order) => self.start(&order),
@@ -101,7 +103,7 @@
 
     fn load(&self, order: &LoadOrder) {
         let ok = match order.kind {
-            // A plain service has nothing to load.
+            // A plain service has no model to load.
             ModelKind::Service => true,
             ModelKind::Engine => self.clock.now() < order.valid_until && self.send_load(order),
         };
@@ -134,14 +136,14 @@
 
     fn cancel(&self, run: RunId, epoch: u64) {
         let body = json!({ "fence": epoch, "run": run.to_string() });
-        // The run's own stream tells how it ended.
+        // The result of the run itself tells how it ended.
         let _ = self
             .agent
             .post(self.url("/runrail/v1/cancel"))
             .send(body.to_string());
     }
 
-    fn ask_status(&self) {
+    fn request_status(&self) {
         let answer = self.agent.get(self.url("/runrail/v1/status")).call();
         let text = answer
             .ok()
@@ -173,20 +175,20 @@
             .header("Runrail-Fence", order.epoch.to_string())
             .header("Runrail-Run", order.run.to_string())
             .header("Runrail-Priority", order.priority.to_string());
-        // The last look before the order leaves: the process may have been
-        // paused since the reducer decided.
+        // Checked right before the request is sent: the process may have been paused
+        // since the order was issued.
         if self.clock.now() >= order.valid_until {
             return RunResult::NotRun;
         }
         match request.send(body) {
             Ok(response) => self.answer(order, response),
-            Err(error) => unanswered(&error),
+            Err(error) => error_result(&error),
         }
     }
 
     fn answer(&self, order: &StartOrder, mut response: Response<Body>) -> RunResult {
         let status = response.status().as_u16();
-        if status == FENCED {
+        if status == FENCED_STATUS {
             return RunResult::NotRun;
         }
         if order.kind == ModelKind::Engine {
@@ -195,7 +197,7 @@
             }
             return self.stream(order.run, response);
         }
-        let body = response.body_mut().with_config().limit(ANSWER_LIMIT);
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         match body.read_to_string() {
             Ok(text) => {
                 (self.events)(EndpointEvent::Piece {
@@ -222,8 +224,8 @@
     }
 }
 
-/// The event that ends an order which couldn't be begun.
-fn failure_of(call: &EndpointCall) -> Option<EndpointEvent> {
+/// The event that reports an order that could not be started, if it has one.
+fn failure_event(call: &EndpointCall) -> Option<EndpointEvent> {
     match call {
         EndpointCall::Load(order) => Some(EndpointEvent::Loaded {
             epoch: order.epoch,
@@ -237,8 +239,9 @@
     }
 }
 
-/// Only a connection that was never made proves that nothing ran.
-fn unanswered(error: &ureq::Error) -> RunResult {
+/// Result of a run whose request failed; only a connection that was never established
+/// proves that nothing ran.
+fn error_result(error: &ureq::Error) -> RunResult {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => RunResult::NotRun,
         ureq::Error::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
@@ -249,7 +252,8 @@
     }
 }
 
-/// The caller's body, always streamed, with what the engine needs to resume.
+/// The caller's body with streaming switched on, and with the text already delivered if
+/// the engine has to resume the answer.
 fn engine_body(order: &StartOrder) -> String {
     let mut body: Value = serde_json::from_str(&order.body).unwrap_or_default();
     body["stream"] = Value::Bool(true);
--- a/src/endpoint/endpoint_settings.rs
+++ b/src/endpoint/endpoint_settings.rs
@@ -1,18 +1,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the endpoint is and how long it is waited for.
+/// Address of the endpoint, and timeouts of the calls to it.
 #[derive(Clone, Debug)]
 pub struct EndpointSettings {
-    /// Its address.
+    /// Address.
     pub addr: SocketAddr,
-    /// Time for a load order.
+    /// Timeout of the head of the response to an order to load a model.
     pub load: Duration,
-    /// Longest time between two bytes of an answer.
+    /// Timeout of the head of a response, except that of an order to load a model.
     pub silence: Duration,
-    /// Time between two questions for its load; a plain service isn't asked.
+    /// Interval between two requests for its status; a plain service isn't asked.
     pub status: Duration,
-    /// Whether it is a model engine, which reports its load.
+    /// Whether it is a model engine, which reports its status.
     pub engine: bool,
 }
 
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to the endpoint beside an agent: a model engine or a plain service.
+//! Client of the endpoint beside an agent: a model engine or a plain service.
 
 mod endpoint_client;
 mod endpoint_settings;
--- a/src/endpoint/sse_reader.rs
+++ b/src/endpoint/sse_reader.rs
@@ -2,52 +2,52 @@
 
 use serde_json::Value;
 
-/// Longest line of a stream, in bytes.
-const LINE_LIMIT: usize = 1024 * 1024;
+/// Maximum length of a line of a stream; a longer one counts as a broken stream.
+const MAX_LINE_BYTES: usize = 1024 * 1024;
 
-/// One item of an engine's stream.
+/// One item of an engine's answer stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SseItem {
-    /// Text that follows what came before.
+    /// Text that continues the answer.
     Text(String),
-    /// The engine has stopped the request on a cancel order.
+    /// The engine has ended the run on a cancel order.
     Cancelled,
     /// The answer is complete.
     Done,
 }
 
-/// Reads server-sent events of the chat-completions API.
+/// Parses the server-sent events of the chat-completions API.
 #[derive(Debug)]
 pub struct SseReader<R> {
     lines: R,
 }
 
 impl<R: BufRead> SseReader<R> {
-    /// Reads from a stream.
+    /// A reader of a stream of lines.
     pub fn new(lines: R) -> Self {
         Self { lines }
     }
 
-    /// The next item; `None` when the stream ends or breaks before `[DONE]`.
+    /// Reads the next item; `None` if the stream ends or fails before `[DONE]`.
     pub fn next_item(&mut self) -> Option<SseItem> {
         let mut line = String::new();
         loop {
             line.clear();
             let read = self.lines.read_line(&mut line).ok()?;
-            if read == 0 || read > LINE_LIMIT {
+            if read == 0 || read > MAX_LINE_BYTES {
                 return None;
             }
             let Some(data) = line.trim_end().strip_prefix("data:") else {
                 continue;
             };
-            if let Some(item) = item(data.trim()) {
+            if let Some(item) = parse_item(data.trim()) {
                 return Some(item);
             }
         }
     }
 }
 
-fn item(data: &str) -> Option<SseItem> {
+fn parse_item(data: &str) -> Option<SseItem> {
     if data == "[DONE]" {
         return Some(SseItem::Done);
     }
--- a/src/etcd/kv_client.rs
+++ b/src/etcd/kv_client.rs
@@ -7,12 +7,12 @@
 use super::{kv_json, PlatformSettings};
 use crate::logic::router::{CallId, StoreCall, StoreFault, StoreResult};
 
-/// Longest answer of the service, in bytes.
-const ANSWER_LIMIT: u64 = 64 * 1024 * 1024;
-/// Stack of a worker thread, in bytes.
-const STACK: usize = 512 * 1024;
+/// Maximum length of a response of the service.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
+/// Stack size of a worker thread.
+const STACK_BYTES: usize = 512 * 1024;
 
-/// Calls the key-value service from a few worker threads.
+/// Calls the key-value service on a fixed number of worker threads.
 #[derive(Clone)]
 pub struct KvClient {
     jobs: Sender<(CallId, StoreCall)>,
@@ -21,14 +21,15 @@
 struct Worker {
     settings: PlatformSettings,
     agent: ureq::Agent,
-    turn: Arc<AtomicUsize>,
+    /// Failed calls of all workers; each one moves the next calls to the next address.
+    failures: Arc<AtomicUsize>,
 }
 
 impl KvClient {
-    /// Starts the workers; `results` is called on them.
+    /// Starts the worker threads; `results` is called on them.
     ///
     /// # Errors
-    /// Returns the error of a thread that can't be started.
+    /// Returns an error if a thread can't be started.
     pub fn start(
         settings: &PlatformSettings,
         results: impl Fn(CallId, StoreResult) + Send + Sync + 'static,
@@ -36,27 +37,27 @@
         let (jobs, queue) = channel();
         let queue = Arc::new(Mutex::new(queue));
         let results = Arc::new(results);
-        let turn = Arc::new(AtomicUsize::new(0));
+        let failures = Arc::new(AtomicUsize::new(0));
         let agent = http_agent(settings);
         for i in 0..settings.workers.max(1) {
             let worker = Worker {
                 settings: settings.clone(),
                 agent: agent.clone(),
-                turn: turn.clone(),
+                failures: failures.clone(),
             };
             let queue = queue.clone();
             let results = results.clone();
             std::thread::Builder::new()
                 .name(format!("kv-{i}"))
-                .stack_size(STACK)
-                .spawn(move || work(&worker, &queue, results.as_ref()))?;
+                .stack_size(STACK_BYTES)
+                .spawn(move || run_worker(&worker, &queue, results.as_ref()))?;
         }
         Ok(Self { jobs })
     }
 
-    /// Makes a call; its result comes through the callback.
+    /// Queues a call; its result is passed to the callback.
     pub fn call(&self, id: CallId, call: StoreCall) {
-        // The workers end only with the process.
+        // The workers receive as long as a client exists.
         let _ = self.jobs.send((id, call));
     }
 }
@@ -69,7 +70,7 @@
         .into()
 }
 
-fn work(
+fn run_worker(
     worker: &Worker,
     queue: &Mutex<Receiver<(CallId, StoreCall)>>,
     results: &(impl Fn(CallId, StoreResult) + ?Sized),
@@ -89,15 +90,18 @@
 impl Worker {
     fn call(&self, call: &StoreCall) -> StoreResult {
         let (path, body) = kv_json::request(call);
-        let turn = self.turn.load(Ordering::Relaxed);
-        let addr = self.settings.kv.get(turn % self.settings.kv.len().max(1));
+        let failures = self.failures.load(Ordering::Relaxed);
+        let addr = self
+            .settings
+            .kv
+            .get(failures % self.settings.kv.len().max(1));
         let Some(addr) = addr else {
             return Err(StoreFault);
         };
         let answer = self.post(&format!("http://{addr}{path}"), &body);
         let reply = answer.and_then(|body| kv_json::reply(call, &body));
         if reply.is_none() {
-            self.turn.fetch_add(1, Ordering::Relaxed);
+            self.failures.fetch_add(1, Ordering::Relaxed);
         }
         reply.ok_or(StoreFault)
     }
@@ -107,7 +111,7 @@
         if response.status() != 200 {
             return None;
         }
-        let body = response.body_mut().with_config().limit(ANSWER_LIMIT);
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         serde_json::from_str(&body.read_to_string().ok()?).ok()
     }
 }
--- a/src/etcd/kv_json.rs
+++ b/src/etcd/kv_json.rs
@@ -1,4 +1,5 @@
-//! Shapes of the etcd v3 JSON API; numbers of 64 bits are strings, bytes base64.
+//! Conversion from and to the etcd v3 JSON API, which has 64-bit integers as strings and
+//! bytes in base64.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -6,7 +7,7 @@
 
 use crate::logic::router::{StoreCall, StoreChange, StoreEntry, StoreReply};
 
-/// Path and body of a call.
+/// Path and body of the request for a call.
 pub(super) fn request(call: &StoreCall) -> (&'static str, Value) {
     match call {
         StoreCall::Read { key, prefix } => ("/v3/kv/range", range(key, *prefix)),
@@ -54,7 +55,7 @@
     }
 }
 
-/// Body of a watch over a prefix.
+/// Body of the request for a watch of a prefix, from a revision on.
 pub(super) fn watch(prefix: &str, from: i64) -> Value {
     let mut create = range(prefix, true);
     create["start_revision"] = Value::String(from.to_string());
@@ -62,7 +63,7 @@
     json!({ "create_request": create })
 }
 
-/// Reads the answer of a call.
+/// Parses the response of a call; `None` if it isn't as expected.
 pub(super) fn reply(call: &StoreCall, body: &Value) -> Option<StoreReply> {
     match call {
         StoreCall::Read { .. } => Some(StoreReply::Entries {
@@ -71,7 +72,7 @@
         }),
         StoreCall::Swap { .. } => {
             let mut read = Vec::new();
-            for response in list(&body["responses"]) {
+            for response in array(&body["responses"]) {
                 read.extend(entries(&response["response_range"]["kvs"])?);
             }
             Some(StoreReply::Swapped {
@@ -89,14 +90,15 @@
     }
 }
 
-/// Reads one line of a watch.
+/// Parses one line of a watch; `None` if the watch was cancelled or the line isn't as
+/// expected.
 pub(super) fn changes(line: &Value) -> Option<Vec<StoreChange>> {
     let result = line.get("result")?;
     if result["canceled"].as_bool().unwrap_or(false) {
         return None;
     }
     let mut found = Vec::new();
-    for event in list(&result["events"]) {
+    for event in array(&result["events"]) {
         let kv = &event["kv"];
         let deleted = event["type"].as_str() == Some("DELETE");
         let value = if deleted {
@@ -107,7 +109,7 @@
         found.push(StoreChange {
             key: decode(&kv["key"])?,
             value,
-            revision: number(&kv["mod_revision"])?,
+            revision: integer(&kv["mod_revision"])?,
         });
     }
     Some(found)
@@ -121,7 +123,7 @@
     body
 }
 
-/// First key behind all keys with a prefix.
+/// Smallest key after all keys with a prefix.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -135,34 +137,34 @@
 
 fn lease(body: &Value) -> Option<StoreReply> {
     Some(StoreReply::Lease {
-        lease: number(&body["ID"])?,
-        // A lease that has ended comes without a time to live.
-        ttl_s: number(&body["TTL"]).unwrap_or(0).max(0) as u64,
+        lease: integer(&body["ID"])?,
+        // The service omits the TTL of a lease that has expired.
+        ttl_s: integer(&body["TTL"]).unwrap_or(0).max(0) as u64,
     })
 }
 
 fn revision(body: &Value) -> Option<i64> {
-    number(&body["header"]["revision"])
+    integer(&body["header"]["revision"])
 }
 
-fn list(value: &Value) -> &[Value] {
+fn array(value: &Value) -> &[Value] {
     value.as_array().map_or(&[], |v| v.as_slice())
 }
 
 fn entries(kvs: &Value) -> Option<Vec<StoreEntry>> {
-    list(kvs)
+    array(kvs)
         .iter()
         .map(|kv| {
             Some(StoreEntry {
                 key: decode(&kv["key"])?,
                 value: decode(&kv["value"])?,
-                revision: number(&kv["mod_revision"])?,
+                revision: integer(&kv["mod_revision"])?,
             })
         })
         .collect()
 }
 
-fn number(value: &Value) -> Option<i64> {
+fn integer(value: &Value) -> Option<i64> {
     match value {
         Value::String(text) => text.parse().ok(),
         other => other.as_i64(),
@@ -174,7 +176,7 @@
 }
 
 fn decode(value: &Value) -> Option<String> {
-    // An empty value is left out of the JSON.
+    // The JSON omits an empty value.
     let Some(text) = value.as_str() else {
         return Some(String::new());
     };
--- a/src/etcd/mod.rs
+++ b/src/etcd/mod.rs
@@ -1,6 +1,6 @@
-//! The platform: its key-value service and its instance list.
+//! Clients of the platform: its key-value service and its instance list.
 //!
-//! The service is met through the HTTP/JSON form of the etcd v3 API.
+//! The key-value service is reached through the HTTP/JSON gateway of the etcd v3 API.
 
 mod kv_client;
 mod kv_json;
--- a/src/etcd/platform_settings.rs
+++ b/src/etcd/platform_settings.rs
@@ -1,16 +1,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the platform is and how long it is waited for.
+/// Addresses of the platform and limits of the calls to it.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Addresses of the key-value service; the next is tried when one fails.
+    /// Addresses of the key-value service; after a failed call the next one is used.
     pub kv: Vec<SocketAddr>,
     /// Address of the instance list.
     pub list: SocketAddr,
-    /// Time for one call.
+    /// Timeout of a call.
     pub call: Duration,
-    /// Calls at once.
+    /// Maximum number of concurrent calls to the key-value service.
     pub workers: usize,
 }
 
--- a/src/etcd/watcher.rs
+++ b/src/etcd/watcher.rs
@@ -8,23 +8,25 @@
 use super::{kv_json, PlatformSettings};
 use crate::logic::router::StoreChange;
 
-/// Time after which a connection is renewed, so that a dead one can't hold a watch.
-const RENEW: Duration = Duration::from_secs(60);
-/// Longest line of a watch, in bytes.
-const LINE_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum age of a connection; it is then replaced, so that a dead connection can't stall
+/// a watch for longer.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
+/// Maximum length of a line of a watch; a longer one ends the watch as lost.
+const MAX_LINE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Watches a prefix of the key-value service; one watch at a time.
+/// Watches the keys with a prefix in the key-value service; one watch at a time.
 #[derive(Clone)]
 pub struct Watcher {
     settings: PlatformSettings,
     prefix: String,
+    /// Number of the watch in use; earlier ones stop.
     current: Arc<AtomicU64>,
     changes: Arc<dyn Fn(Option<Vec<StoreChange>>) + Send + Sync>,
 }
 
 impl Watcher {
-    /// A watcher that calls `changes` on its own thread: with `None` when the
-    /// watch was lost and must be started again.
+    /// A watcher that calls `changes` on the thread of its watch: with `None` if the watch
+    /// was lost and must be started again.
     pub fn new(
         settings: &PlatformSettings,
         prefix: &str,
@@ -38,27 +40,27 @@
         }
     }
 
-    /// Starts the watch at a revision, in place of an earlier one.
+    /// Starts a watch at a revision; it replaces an earlier one.
     pub fn start(&self, from: i64) {
-        let turn = self.current.fetch_add(1, Ordering::SeqCst) + 1;
+        let number = self.current.fetch_add(1, Ordering::SeqCst) + 1;
         let watcher = self.clone();
         let spawned = std::thread::Builder::new()
             .name("watch".into())
-            .spawn(move || watcher.run(turn, from));
+            .spawn(move || watcher.run(number, from));
         if spawned.is_err() {
             (self.changes)(None);
         }
     }
 
-    fn is_current(&self, turn: u64) -> bool {
-        self.current.load(Ordering::SeqCst) == turn
+    fn is_current(&self, number: u64) -> bool {
+        self.current.load(Ordering::SeqCst) == number
     }
 
-    fn run(&self, turn: u64, from: i64) {
+    fn run(&self, number: u64, from: i64) {
         let mut next = from;
-        while self.is_current(turn) {
-            if self.follow(turn, &mut next) == End::Lost {
-                if self.is_current(turn) {
+        while self.is_current(number) {
+            if self.read_changes(number, &mut next) == ConnectionEnd::Lost {
+                if self.is_current(number) {
                     (self.changes)(None);
                 }
                 return;
@@ -66,41 +68,44 @@
         }
     }
 
-    /// Follows one connection; `next` is the revision that the next one starts at.
-    fn follow(&self, turn: u64, next: &mut i64) -> End {
-        let Some(mut lines) = self.open(turn, *next) else {
-            return End::Lost;
+    /// Reads changes from one connection; `next` is set to the revision at which the next
+    /// connection has to start.
+    fn read_changes(&self, number: u64, next: &mut i64) -> ConnectionEnd {
+        let Some(mut lines) = self.connect(number, *next) else {
+            return ConnectionEnd::Lost;
         };
         let mut line = String::new();
-        while self.is_current(turn) {
+        while self.is_current(number) {
             line.clear();
             match lines.read_line(&mut line) {
-                Ok(read) if read > 0 && read <= LINE_LIMIT => {}
-                Err(e) if e.kind() == ErrorKind::TimedOut && line.is_empty() => return End::Quiet,
-                _ => return End::Lost,
+                Ok(read) if read > 0 && read <= MAX_LINE_BYTES => {}
+                Err(e) if e.kind() == ErrorKind::TimedOut && line.is_empty() => {
+                    return ConnectionEnd::Expired
+                }
+                _ => return ConnectionEnd::Lost,
             }
             let value: Option<Value> = serde_json::from_str(&line).ok();
             let Some(changes) = value.as_ref().and_then(kv_json::changes) else {
-                return End::Lost;
+                return ConnectionEnd::Lost;
             };
             if let Some(last) = changes.iter().map(|c| c.revision).max() {
                 *next = last + 1;
-                if self.is_current(turn) {
+                if self.is_current(number) {
                     (self.changes)(Some(changes));
                 }
             }
         }
-        End::Quiet
+        ConnectionEnd::Expired
     }
 
-    fn open(&self, turn: u64, from: i64) -> Option<impl BufRead> {
+    fn connect(&self, number: u64, from: i64) -> Option<impl BufRead> {
         let count = self.settings.kv.len().max(1);
-        let addr = self.settings.kv.get(turn as usize % count)?;
+        let addr = self.settings.kv.get(number as usize % count)?;
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .timeout_connect(Some(self.settings.call))
             .timeout_send_request(Some(self.settings.call))
             .timeout_recv_response(Some(self.settings.call))
-            .timeout_recv_body(Some(RENEW))
+            .timeout_recv_body(Some(MAX_CONNECTION_AGE))
             .http_status_as_error(false)
             .build()
             .into();
@@ -111,11 +116,11 @@
     }
 }
 
-/// How a connection of a watch ended.
+/// Why a connection of a watch ended.
 #[derive(PartialEq, Eq)]
-enum End {
-    /// Its time was over; the next connection goes on behind it.
-    Quiet,
-    /// It broke, or changes may have been missed.
+enum ConnectionEnd {
+    /// Its maximum age was reached or the watch was replaced; no change was missed.
+    Expired,
+    /// It failed, or changes may have been missed.
     Lost,
 }
--- a/tests/contract/endpoint.rs
+++ b/tests/contract/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints, as any implementation has to behave towards an agent.
+//! Behaviour that an agent expects of every endpoint.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver};
@@ -12,7 +12,7 @@
 use runrail::types::{GroupRole, ModelKind, RequestId};
 use testkit::{Engine, EngineKnobs, Fabric, Service};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn client(addr: SocketAddr) -> (EndpointClient, Receiver<EndpointEvent>) {
     let (sender, events) = channel();
@@ -71,13 +71,13 @@
     EndpointCall::Start(Box::new(order))
 }
 
-/// Text and result of a run.
+/// Collects the text and the result of a run.
 fn outcome(events: &Receiver<EndpointEvent>) -> (String, RunResult) {
-    let mut whole = String::new();
+    let mut answer = String::new();
     loop {
-        match events.recv_timeout(LONG).expect("an event") {
-            EndpointEvent::Piece { text, .. } => whole.push_str(&text),
-            EndpointEvent::Ended { result, .. } => return (whole, result),
+        match events.recv_timeout(TIMEOUT).expect("an event") {
+            EndpointEvent::Piece { text, .. } => answer.push_str(&text),
+            EndpointEvent::Ended { result, .. } => return (answer, result),
             _ => {}
         }
     }
@@ -88,7 +88,7 @@
     let (_, engine) = engine(EngineKnobs::default());
     let (client, events) = client(engine.addr());
     client.call(load(5));
-    let loaded = events.recv_timeout(LONG).expect("an event");
+    let loaded = events.recv_timeout(TIMEOUT).expect("an event");
     assert_eq!(loaded, EndpointEvent::Loaded { epoch: 5, ok: true });
     client.call(start(1, |_| {}));
     assert_eq!(
@@ -110,26 +110,26 @@
     let (fabric, engine) = engine(EngineKnobs::default());
     let (client, events) = client(engine.addr());
     client.call(load(6));
-    events.recv_timeout(LONG).expect("an event");
+    events.recv_timeout(TIMEOUT).expect("an event");
     client.call(start(1, |_| {}));
     assert_eq!(outcome(&events).1, RunResult::NotRun);
     assert!(fabric.runs().is_empty());
 }
 
 #[test]
-fn an_order_whose_time_is_over_or_that_reaches_nobody_is_not_run() {
+fn an_order_that_has_expired_or_finds_no_endpoint_is_not_run() {
     let (fabric, engine) = engine(EngineKnobs::default());
-    let (reaching, events) = client(engine.addr());
-    reaching.call(start(1, |o| o.valid_until = 0));
+    let (connected, events) = client(engine.addr());
+    connected.call(start(1, |o| o.valid_until = 0));
     assert_eq!(outcome(&events).1, RunResult::NotRun);
     assert!(fabric.runs().is_empty());
-    let (lost, events) = client(SocketAddr::from(([127, 0, 0, 1], 1)));
-    lost.call(start(2, |_| {}));
+    let (unconnected, events) = client(SocketAddr::from(([127, 0, 0, 1], 1)));
+    unconnected.call(start(2, |_| {}));
     assert_eq!(outcome(&events).1, RunResult::NotRun);
 }
 
 #[test]
-fn a_cancelled_run_says_so_and_a_dead_replica_breaks_off() {
+fn a_cancelled_run_ends_as_cancelled_and_one_on_a_dead_replica_as_broken() {
     let (fabric, engine) = engine(EngineKnobs {
         piece: Duration::from_millis(50),
         pieces: 200,
@@ -137,17 +137,17 @@
     });
     let (client, events) = client(engine.addr());
     client.call(load(5));
-    events.recv_timeout(LONG).expect("an event");
+    events.recv_timeout(TIMEOUT).expect("an event");
     let long = r#"{"model":"m","messages":[{"role":"user","content":"a"}]}"#;
     client.call(start(1, |o| o.body = Arc::from(long)));
-    events.recv_timeout(LONG).expect("a piece");
+    events.recv_timeout(TIMEOUT).expect("a piece");
     client.call(EndpointCall::Cancel {
         run: run(1),
         epoch: 5,
     });
     assert_eq!(outcome(&events).1, RunResult::Cancelled);
     client.call(start(2, |o| o.body = Arc::from(long)));
-    events.recv_timeout(LONG).expect("a piece");
+    events.recv_timeout(TIMEOUT).expect("a piece");
     fabric.set_down("x", true);
     assert_eq!(outcome(&events).1, RunResult::Broken);
 }
--- a/tests/contract/frames.rs
+++ b/tests/contract/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: round trips, hostile bytes, unknown fields, size.
+//! Encoding of frames: round trips, invalid bytes, unknown fields, length and depth.
 
 use proptest::prelude::*;
 use runrail::message::{Message, RunId};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 #[test]
-fn a_message_survives_the_way() {
+fn a_message_is_unchanged_by_encoding_and_decoding() {
     let message = Message::Piece {
         run: RunId {
             request: RequestId { node: 7, number: 1 },
--- a/tests/contract/main.rs
+++ b/tests/contract/main.rs
@@ -1,4 +1,4 @@
-//! Contracts of the interfaces between processes and towards the platform.
+//! Contract tests of the interfaces between processes, to endpoints and to the platform.
 
 mod endpoint;
 mod frames;
--- a/tests/contract/platform.rs
+++ b/tests/contract/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's key-value service, as any implementation has to behave.
+//! Behaviour that is expected of every implementation of the platform's key-value
+//! service and instance list.
 
 use std::sync::mpsc::channel;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 use runrail::logic::router::{Check, Put, StoreCall, StoreChange, StoreReply, StoreResult};
 use testkit::{Platform, PlatformFault};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn settings(platform: &Platform) -> PlatformSettings {
     PlatformSettings {
@@ -17,7 +18,7 @@
     }
 }
 
-/// A client that answers call by call.
+/// A client that makes one call at a time and waits for its result.
 struct Calls {
     client: KvClient,
     results: std::sync::mpsc::Receiver<StoreResult>,
@@ -37,7 +38,7 @@
 
     fn call(&self, call: StoreCall) -> StoreResult {
         self.client.call(1, call);
-        self.results.recv_timeout(LONG).expect("a result")
+        self.results.recv_timeout(TIMEOUT).expect("a result")
     }
 
     fn swap(&self, key: &str, revision: i64, value: &str, lease: Option<i64>) -> StoreResult {
@@ -66,7 +67,7 @@
         ..
     }) = calls.swap("k", 0, "one", None)
     else {
-        panic!("the first write is refused");
+        panic!("the first write was refused");
     };
     let late = calls.swap("k", 0, "two", None);
     let Ok(StoreReply::Swapped {
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_key_goes_with_its_lease() {
+fn a_key_is_deleted_when_its_lease_expires() {
     let platform = Platform::start();
     let calls = Calls::start(&platform);
     let Ok(StoreReply::Lease { lease, ttl_s: 1 }) = calls.call(StoreCall::Grant { ttl_s: 1 })
@@ -115,7 +116,7 @@
     assert!(calls.swap("k", 0, "v", Some(lease)).is_ok());
     let renewed = calls.call(StoreCall::Renew { lease });
     assert!(matches!(renewed, Ok(StoreReply::Lease { ttl_s: 1, .. })));
-    let gone = testkit::until(LONG, || {
+    let gone = testkit::until(TIMEOUT, || {
         let read = calls.call(StoreCall::Read {
             key: "k".into(),
             prefix: false,
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_watch_reports_changes_in_order_and_says_when_it_is_lost() {
+fn a_watch_reports_changes_in_order_and_its_own_loss() {
     let platform = Platform::start();
     platform.put("a/1", "one");
     platform.put("a/2", "two");
@@ -153,7 +154,7 @@
     while seen.len() < 2 {
         seen.extend(
             changes
-                .recv_timeout(LONG)
+                .recv_timeout(TIMEOUT)
                 .expect("changes")
                 .expect("no loss"),
         );
@@ -161,14 +162,17 @@
     platform.put("a/3", "three");
     seen.extend(
         changes
-            .recv_timeout(LONG)
+            .recv_timeout(TIMEOUT)
             .expect("changes")
             .expect("no loss"),
     );
     let keys: Vec<_> = seen.iter().map(|c| c.key.as_str()).collect();
     assert_eq!(keys, ["a/1", "a/2", "a/3"]);
     platform.set_fault(PlatformFault::Down);
-    assert_eq!(changes.recv_timeout(LONG).expect("word of the loss"), None);
+    assert_eq!(
+        changes.recv_timeout(TIMEOUT).expect("a report of the loss"),
+        None
+    );
 }
 
 #[test]
@@ -196,7 +200,7 @@
     let client = client.expect("a thread");
     let fetch = || {
         client.fetch();
-        lists.recv_timeout(LONG).expect("a list")
+        lists.recv_timeout(TIMEOUT).expect("a list")
     };
     let ListReply::Instances(instances) = fetch() else {
         panic!("no list");
--- a/tests/contract/sessions.rs
+++ b/tests/contract/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: key, version, instance, replacement.
+//! Sessions between processes: key, instance, delivery of messages.
 
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use runrail::types::InstanceId;
 use runrail::wire::{Identity, Net, NetEvent, NetSettings};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(name: &str, key: &str) -> (Net, Receiver<NetEvent>) {
     let (sender, events) = channel();
@@ -25,37 +25,37 @@
     (net.expect("a port"), events)
 }
 
-fn refused(events: &Receiver<NetEvent>) -> String {
+fn refusal_reason(events: &Receiver<NetEvent>) -> String {
     loop {
-        match events.recv_timeout(LONG).expect("an event") {
+        match events.recv_timeout(TIMEOUT).expect("an event") {
             NetEvent::Refused { why, .. } => return why,
-            NetEvent::Up(peer) => panic!("{peer:?} was let in"),
+            NetEvent::Up(peer) => panic!("a session with {peer:?} was opened"),
             _ => {}
         }
     }
 }
 
 #[test]
-fn messages_pass_between_processes_with_one_key() {
-    let (a, own) = start("a", "the fleet's key");
+fn processes_with_the_same_key_exchange_messages() {
+    let (a, own_events) = start("a", "the fleet's key");
     let (b, events) = start("b", "the fleet's key");
     a.dial(&InstanceId::new("b"), b.addr());
-    // Before its own side is up, what it sends is dropped.
-    let up = own.recv_timeout(LONG).expect("an event");
+    // A message sent before the session is open on this side would be dropped.
+    let up = own_events.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(up, NetEvent::Up(p) if p.id.as_str() == "b"));
-    let up = events.recv_timeout(LONG).expect("an event");
+    let up = events.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(up, NetEvent::Up(p) if p.id.as_str() == "a"));
     a.send(&InstanceId::new("b"), Message::Leave);
-    let heard = events.recv_timeout(LONG).expect("an event");
+    let received = events.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(
-        heard,
+        received,
         NetEvent::Message {
             message: Message::Leave,
             ..
         }
     ));
     a.hangup(&InstanceId::new("b"));
-    let down = events.recv_timeout(LONG).expect("an event");
+    let down = events.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(down, NetEvent::Down(_)));
 }
 
@@ -64,7 +64,7 @@
     let (a, _) = start("a", "the fleet's key");
     let (b, events) = start("b", "another key");
     a.dial(&InstanceId::new("b"), b.addr());
-    assert!(refused(&events).contains("key"));
+    assert!(refusal_reason(&events).contains("key"));
 }
 
 #[test]
@@ -72,26 +72,26 @@
     let (a, _) = start("a", "the fleet's key");
     let (b, events) = start("b", "the fleet's key");
     a.dial(&InstanceId::new("c"), b.addr());
-    assert!(refused(&events).contains("meant for c"));
+    assert!(refusal_reason(&events).contains("meant for c"));
 }
 
 #[test]
-fn a_process_that_ends_in_order_sends_what_waits() {
-    let (a, own) = start("a", "the fleet's key");
+fn a_process_that_shuts_down_sends_its_queued_messages() {
+    let (a, own_events) = start("a", "the fleet's key");
     let (b, events) = start("b", "the fleet's key");
     a.dial(&InstanceId::new("b"), b.addr());
-    own.recv_timeout(LONG).expect("an event");
+    own_events.recv_timeout(TIMEOUT).expect("an event");
     for _ in 0..500 {
         a.send(&InstanceId::new("b"), Message::Leave);
     }
-    a.finish(LONG);
-    let mut heard = 0;
+    a.finish(TIMEOUT);
+    let mut received = 0;
     loop {
-        match events.recv_timeout(LONG).expect("an event") {
-            NetEvent::Message { .. } => heard += 1,
+        match events.recv_timeout(TIMEOUT).expect("an event") {
+            NetEvent::Message { .. } => received += 1,
             NetEvent::Down(_) => break,
             _ => {}
         }
     }
-    assert_eq!(heard, 500);
+    assert_eq!(received, 500);
 }
