--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -87,7 +87,10 @@
                     .with_hint("`runrail bundle status` before trying again")
             }
             Ok(problem) => CliError::new(CliErrorKind::Refused, problem.detail),
-            Err(_) => CliError::new(CliErrorKind::Refused, format!("status {}", answer.status())),
+            Err(_) => CliError::new(
+                CliErrorKind::Refused,
+                format!("HTTP status {}", answer.status()),
+            ),
         })
     }
 
--- a/src/cli/serve_command.rs
+++ b/src/cli/serve_command.rs
@@ -16,7 +16,7 @@
 use crate::platform;
 use crate::settings::{AgentSettings, DirectSettings, RouterSettings};
 
-/// Runs `router` until the process is shut down.
+/// Runs `router`: a router, until the process is shut down.
 pub(super) fn router(mut args: Arguments) -> Result<(), CliError> {
     let file = required_value(&mut args, "--settings", "router")?;
     reject_rest(args, "router")?;
@@ -33,7 +33,7 @@
     serve(run_router(settings).map_err(start_error)?, &log)
 }
 
-/// Runs `agent` until the process is shut down.
+/// Runs `agent`: an agent, until the process is shut down.
 pub(super) fn agent(mut args: Arguments) -> Result<(), CliError> {
     let file = required_value(&mut args, "--settings", "agent")?;
     reject_rest(args, "agent")?;
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Address that is listened on.
+    /// Listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/src/http/operator_api.rs
+++ b/src/http/operator_api.rs
@@ -134,7 +134,7 @@
 fn read_bundle(request: &mut Request) -> Result<BundleBody, Problem> {
     let text = body::read(request, MAX_BUNDLE_BYTES)?;
     serde_json::from_str(&text)
-        .map_err(|e| Problem::not_run(422, format!("the bundle is not valid: {e}")))
+        .map_err(|e| Problem::not_run(422, format!("the bundle can't be parsed: {e}")))
 }
 
 fn reply_json(reply: OperatorReply) -> Result<Value, Problem> {
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,7 +1,7 @@
 //! Mutual authentication with the fleet's key, before any message is exchanged.
 //!
-//! The proof is an HMAC-SHA256 over both nonces, the sender's identity and the
-//! receiver's id. It keeps other processes out; the messages that follow are neither
+//! The proof is an HMAC-SHA256 over the sender's side, both nonces, the sender's
+//! identity and the receiver's id. It keeps other processes out; the messages that follow are neither
 //! encrypted nor signed.
 
 use displaydoc::Display;
--- a/src/wire/identity.rs
+++ b/src/wire/identity.rs
@@ -8,7 +8,7 @@
 pub struct Identity {
     /// Instance that the process runs on.
     pub id: InstanceId,
-    /// Random number that tells this process from earlier ones of the instance.
+    /// Number that distinguishes this process from earlier ones of the instance.
     pub incarnation: u64,
     /// Role of the process.
     pub role: PeerRole,
--- a/src/wire/net.rs
+++ b/src/wire/net.rs
@@ -16,8 +16,8 @@
 
 /// Maximum number of messages queued on a session; one more ends the session.
 const MAX_QUEUED: usize = 4_096;
-/// Wait before a session is dialled again: after a session that was open, and at most.
-/// It doubles with each failure.
+/// Minimum and maximum wait before a session is dialled again; it doubles with each failure
+/// and starts again from the minimum once a session was open.
 const REDIAL_WAITS: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
 /// Settings of the sessions of a process.
@@ -84,7 +84,7 @@
 
 impl Net {
     /// Starts listening and the thread of the sessions. `events` is called on that thread,
-    /// and by [`Net::send`] and [`Net::hangup`] on their caller's.
+    /// and by [`Net::send`] and [`Net::hangup`] on the thread that calls them.
     ///
     /// # Errors
     /// Returns the error of the runtime, the listening socket or the thread.
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Address that is listened on.
+    /// Listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -87,7 +87,7 @@
             }
             message = outgoing.recv() => {
                 let Some(message) = message else {
-                    // The close frame isn't awaited: the peer sees the connection end.
+                    // The peer's close frame isn't awaited: the peer sees the connection end.
                     let _ = timeout(idle, socket.close(None)).await;
                     return "closed by this side".to_string();
                 };
