--- a/src/cli/cli_error_kind.rs
+++ b/src/cli/cli_error_kind.rs
@@ -1,4 +1,4 @@
-/// Kind of a [`CliError`].
+/// Kind of a [`CliError`](super::CliError).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CliErrorKind {
     /// The command line is wrong.
