--- a/tests/contract/frames.rs
+++ b/tests/contract/frames.rs
@@ -1,13 +1,13 @@
-//! Frames: round trips, hostile bytes, unknown fields, size.
+//! Encoding of frames: round trips, invalid bytes, unknown fields, length and depth.
 
 use proptest::prelude::*;
 use runrail::message::{Message, RunId};
 use runrail::types::{Brief, RequestId};
-use runrail::wire::{decode, encode, CodecError, FRAME_LIMIT};
+use runrail::wire::{decode, encode, CodecError, MAX_FRAME_BYTES};
 use serde::Serialize;
 
 #[test]
-fn a_message_survives_the_way() {
+fn a_message_is_unchanged_by_encoding_and_decoding() {
     let message = Message::Piece {
         run: RunId {
             request: RequestId { node: 7, number: 1 },
@@ -50,12 +50,12 @@
 
 #[test]
 fn long_and_deep_frames_are_refused() {
-    let long = vec![0; FRAME_LIMIT + 1];
+    let long = vec![0; MAX_FRAME_BYTES + 1];
     assert_eq!(
         decode::<Message>(&long),
-        Err(CodecError::TooLong(FRAME_LIMIT + 1))
+        Err(CodecError::TooLong(MAX_FRAME_BYTES + 1))
     );
-    assert!(encode(&"x".repeat(FRAME_LIMIT)).is_err());
+    assert!(encode(&"x".repeat(MAX_FRAME_BYTES)).is_err());
     let deep = vec![0x81; 100_000];
     assert!(matches!(
         decode::<Message>(&deep),
