--- a/src/cli/check_command.rs
+++ b/src/cli/check_command.rs
@@ -2,17 +2,17 @@
 
 use pico_args::Arguments;
 
-use super::command::{no_more, optional};
+use super::command::{optional_value, reject_rest};
 use super::{CliError, CliErrorKind};
 use crate::settings::{AgentSettings, DirectSettings, RouterSettings};
 use crate::types::{BundleBody, BundleFault};
 
-/// Checks files and lists all their faults.
+/// Runs `check`: checks files and reports all their faults.
 pub(super) fn check(mut args: Arguments) -> Result<(), CliError> {
-    let settings = optional(&mut args, "--settings", "check")?;
-    let role = optional(&mut args, "--role", "check")?;
-    let bundle = optional(&mut args, "--bundle", "check")?;
-    no_more(args, "check")?;
+    let settings = optional_value(&mut args, "--settings", "check")?;
+    let role = optional_value(&mut args, "--role", "check")?;
+    let bundle = optional_value(&mut args, "--bundle", "check")?;
+    reject_rest(args, "check")?;
     if settings.is_none() && bundle.is_none() {
         return Err(CliError::usage(
             "neither --settings nor --bundle was given",
@@ -62,7 +62,7 @@
     Ok(result.map_err(|e| e.to_string()))
 }
 
-/// Names the figures that a file leaves empty; they are no fault.
+/// Prints the values that a file lacks and what is used instead; they aren't faults.
 fn print_missing_values(file: &str, settings: &DirectSettings) {
     for missing in &settings.missing_values {
         println!("{file}: {missing}");
