--- a/src/logic/direct/accept.rs
+++ b/src/logic/direct/accept.rs
@@ -36,14 +36,15 @@
     }
 }
 
-/// Refuses a request because the routing or the endpoint list is not known yet.
+/// Refuses a request because the routing or the endpoint list is not known yet, or the routing
+/// wasn't read in time after a pause.
 pub(super) fn refuse_not_ready(
     state: &mut DirectState,
     request: &DirectRequest,
     out: &mut Vec<Effect>,
 ) {
     let problem = finish::not_yet_problem(state, request.wait_ms);
-    let why = "the routing or the endpoint list is not known yet";
+    let why = "the routing or the endpoint list is not known, or is being checked after a pause";
     finish::refuse(request.id, &request.label, problem, why, out);
 }
 
--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -10,8 +10,8 @@
 /// Lowest HTTP status of a server error.
 const MIN_SERVER_ERROR: u16 = 500;
 
-/// Status of an endpoint that ran out of the request's time. It doesn't count as a failure
-/// of the endpoint.
+/// Status of an endpoint that ran out of the request's time. Its answer is passed on to the caller
+/// and not retried, unless part of a stream was sent already.
 const GATEWAY_TIMEOUT: u16 = 504;
 
 /// Handles one part of an endpoint's answer.
--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -9,7 +9,7 @@
 
 /// The crashes of endpoints that one request may have caused.
 ///
-/// Both sets only grow, so that the records of two routers are merged by union.
+/// Both sets only grow, so that the records of two routers can be merged by union in any order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// Crashes of endpoints that ran the request and had sent no event of its answer.
@@ -37,7 +37,8 @@
         self.suspected() >= MIN_BLOCKING_CRASHES
     }
 
-    /// Adds the crashes of another record; returns whether this one has changed.
+    /// Adds the crashes and the cleared crashes of another record; returns whether this one has
+    /// changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.crashes.len() + self.cleared.len();
         for crash in &other.crashes {
--- a/src/logic/direct/crashes/crash_table.rs
+++ b/src/logic/direct/crashes/crash_table.rs
@@ -8,9 +8,9 @@
 /// so that many suspected requests don't evict one that is blocked.
 const MAX_RECORDS: usize = 1_024;
 
-/// Time after its last change that a record is kept for. A blocked request is never sent, so
-/// it can't show that it has become harmless, say with a new version of the service: once its
-/// record has expired, it is sent again.
+/// Time for which a record is kept after the last merge that changed it; clearing doesn't extend
+/// it. A blocked request is never sent, so it can't show that it has become harmless, say with a
+/// new version of the service: once its record has expired, it is sent again.
 pub(super) const RETENTION_MS: Millis = 600_000;
 
 /// The crash records of requests.
@@ -58,7 +58,8 @@
         self.records.is_empty()
     }
 
-    /// Adds the crashes of a record to that of a request; returns whether it has changed.
+    /// Adds the crashes and the cleared crashes of a record to that of a request; returns whether
+    /// it has changed.
     pub fn merge(&mut self, now: Millis, request: Fingerprint, record: &CrashRecord) -> bool {
         let entry = self.records.entry(request).or_default();
         let changed = entry.record.merge(record);
@@ -78,7 +79,7 @@
         entry.is_some_and(|e| e.record.clear())
     }
 
-    /// Removes the records that have not changed for the retention time.
+    /// Removes the records that no merge has changed for the retention time.
     pub fn remove_expired(&mut self, now: Millis) {
         self.records
             .retain(|_, e| now < e.updated_at + RETENTION_MS);
--- a/src/logic/direct/digest_state.rs
+++ b/src/logic/direct/digest_state.rs
@@ -26,10 +26,10 @@
     pub last_numbers: [u64; super::tree::TREES as usize],
     /// Number of the last digest that was applied.
     pub last_applied: u64,
-    /// Position up to which every change that affects routing was read or received.
+    /// Position up to which every change that affects where requests go was read or received.
     pub known_upto: StorePosition,
-    /// Whether reading went on after changes known by digests only, which lack those that
-    /// don't affect routing: the list has to be read in full before this router plans.
+    /// Whether reading went on after changes known by digests only, which lack those that don't
+    /// affect where requests go: the list has to be read in full before this router plans.
     pub list_incomplete: bool,
     /// Until when digests make reading the list unnecessary.
     pub list_until: Millis,
--- a/src/logic/direct/digests.rs
+++ b/src/logic/direct/digests.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Broadcasts the head of a group that has opened by its own report, before the list shows
-/// it.
+/// Adds an update for the head of a group that has opened by its own report, before the list shows
+/// it; the next digest carries it.
 pub(super) fn on_head_opened(state: &mut DirectState, now: Millis, id: &InstanceId) {
     let Some(view) = state.endpoints.get(id) else {
         return;
@@ -71,8 +71,9 @@
     }
 }
 
-/// The list was read from the store, up to a position. Where digests have already brought
-/// this router further, the answer may have undone changes, so that reading goes on from here.
+/// The list was read from the store, up to position `at`. Where digests have already brought this
+/// router further, the answer may have undone changes that they brought, so that reading goes on
+/// from `at`.
 pub(super) fn on_list_read(
     state: &mut DirectState,
     now: Millis,
@@ -144,9 +145,10 @@
     }
 }
 
-/// Handles a digest: forwards it along its tree, and applies it unless it has come by the other
-/// tree already. The time that it may have waited for this process is added to its ages, also
-/// for the routers that it is forwarded to.
+/// Handles a digest: forwards it along its tree, and applies it unless this one or a later one was
+/// applied already. Digests of an earlier planner or era are dropped, and so are those that repeat
+/// or precede one that came by the same tree. The time that a digest may have waited for this
+/// process is added to its ages, also for the routers that it is forwarded to.
 pub(super) fn on_digest(
     state: &mut DirectState,
     now: Millis,
--- a/src/logic/direct/direct_effect.rs
+++ b/src/logic/direct/direct_effect.rs
@@ -84,8 +84,8 @@
         list: ListPace,
         /// Whether reading the routing is suspended, as digests tell of a new version.
         hold: bool,
-        /// Position of the list up to which all changes that affect routing are known. After
-        /// a pause with `ListPace::Paused`, reading goes on from there.
+        /// Position of the list up to which all changes that affect where requests go are known.
+        /// After a pause with `ListPace::Paused`, reading goes on from there.
         upto: StorePosition,
     },
     /// Stop accepting callers' connections and close idle ones.
--- a/src/logic/direct/direct_params.rs
+++ b/src/logic/direct/direct_params.rs
@@ -8,7 +8,8 @@
 pub struct DirectParams {
     /// Shortest length of the planner lease; it is longer for large fleets.
     pub lease_ms: Millis,
-    /// Shortest time between two planning passes; it is longer for large fleets.
+    /// Usual time between two planning passes. It is longer for large fleets; a lost or restarted
+    /// endpoint brings the next pass forward.
     pub planning_ms: Millis,
     /// Shortest silence after which a head that has work counts as silent.
     pub silence_ms: Millis,
@@ -18,7 +19,8 @@
     pub reorder_ms: Millis,
     /// Time that a group makes no progress before it counts as broken.
     pub stall_ms: Millis,
-    /// Retries per thousand requests.
+    /// Retries per thousand requests. Each router keeps to it for its own requests, so that all
+    /// together do.
     pub retry_ratio: u64,
     /// Retries that all routers together may make beyond those, in thousandths.
     pub retry_extra: u64,
--- a/src/logic/direct/direct_state.rs
+++ b/src/logic/direct/direct_state.rs
@@ -52,7 +52,8 @@
     pub in_flight: BTreeMap<u64, InFlightRequest>,
     /// Wait queues of requests for an endpoint.
     pub queues: BTreeMap<QueueKey, WaitQueue>,
-    /// Requests held until the routing and the list are known, with their arrival.
+    /// Requests held until the routing and the list are known, or until the routing was read again
+    /// after a pause, with their arrival.
     pub held_requests: Vec<(Millis, DirectRequest)>,
     /// Demand of callers.
     pub demand: Demand,
@@ -175,7 +176,8 @@
         ]
     }
 
-    /// Number of requests in wait queues or held until the routing is known.
+    /// Number of requests in wait queues or held until the routing and the list are known and
+    /// current.
     fn waiting(&self) -> usize {
         let queues = self.queues.values().map(|l| l.waiting.len());
         queues.sum::<usize>() + self.held_requests.len()
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -17,7 +17,7 @@
 /// Time for which an endpoint that had no room gets no new requests.
 const FULL_BACKOFF_MS: Millis = 60;
 
-/// Failures in a row from which the backoff no longer doubles.
+/// Failures in a row at which the backoff reaches its maximum.
 const MAX_BACKOFF_FAILURES: u32 = 3;
 
 /// Applies a complete reading of the endpoint list; endpoints that it lacks are unlisted.
@@ -304,8 +304,8 @@
     }
 }
 
-/// This router's observation of an endpoint, from the result of a probe that was asked for
-/// at `since` and from its own runs there.
+/// This router's observation of an endpoint, from the result of a probe that was sent, or asked for
+/// by another router, at `since`, and from its own runs there.
 pub(super) fn observation(
     state: &DirectState,
     now: Millis,
--- a/src/logic/direct/finish.rs
+++ b/src/logic/direct/finish.rs
@@ -66,10 +66,10 @@
 /// Time within which a router that has started knows the routing and the endpoint list.
 const STARTUP_MS: Millis = 500;
 
-/// Refusal of a request that came before the routing and the endpoint list were known, with
-/// the time after which the caller should come back; `left` is the time that it has left.
-/// Without that time callers return at once, often to another router that has just
-/// started, and use up their tries.
+/// Refusal of a request that came before the routing and the endpoint list were known, with the
+/// time after which the caller should come back; `left` is the time that it has left. Without a
+/// time to come back callers return at once, often to another router that has just started, and use
+/// up their tries.
 pub(super) fn not_yet_problem(state: &mut DirectState, left: Option<Millis>) -> Problem {
     let jitter = state.random_below(JITTER_STEPS);
     let max = left.map_or(STARTUP_MS, |left| {
@@ -107,7 +107,7 @@
 
 /// Ends a request whose deadline has passed, or is so close that it is given up.
 pub(super) fn time_out(state: &mut DirectState, now: Millis, id: u64, out: &mut Vec<Effect>) {
-    let why = "its deadline has passed";
+    let why = "its deadline has passed or is too close";
     match state.in_flight.get(&id) {
         Some(f) if f.has_not_run() && !f.head_sent => give_up(state, now, id, why, out),
         _ => finish(state, id, Problem::TimedOut, why, out),
--- a/src/logic/direct/list_pace.rs
+++ b/src/logic/direct/list_pace.rs
@@ -5,6 +5,6 @@
     Paused,
     /// At long intervals, short enough to notice in time that an endpoint leaves.
     Slow,
-    /// At the shortest intervals, for the planner.
+    /// At the shortest intervals: for the planner, and for all routers if digests are switched off.
     Fast,
 }
--- a/src/logic/direct/mechanism.rs
+++ b/src/logic/direct/mechanism.rs
@@ -2,14 +2,14 @@
 
 /// A part of the policy that can be switched off to measure its effect.
 ///
-/// What guarantees to callers or the separation of groups depend on can't be switched off.
+/// Parts that guarantees to callers or the separation of groups depend on can't be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mechanism {
     /// Bounds the prompt tokens that a head has yet to read.
     ReadingBound,
     /// Adapts the limit of runs at a head to the time until answers begin.
     Limits,
-    /// Gives up groups for others that add more capacity.
+    /// Ends open groups so that their members can form others that are worth more.
     Trades,
     /// Has members load a second model to their hosts.
     SecondModels,
@@ -23,9 +23,9 @@
     ResumeWait,
     /// Broadcasts changes of the endpoint list in digests.
     Updates,
-    /// Weighs groups by demand instead of the published shares.
+    /// Weighs groups also by demand, not by the published shares alone.
     Demand,
-    /// Orders members that stay behind in a group that is over to leave it.
+    /// Orders members that stay behind in an ended group to leave it.
     Freeing,
 }
 
--- a/src/logic/direct/model_demand.rs
+++ b/src/logic/direct/model_demand.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Demand for one model: sums over requests, of some time or a second.
+/// Demand for one model, as sums over its requests in some period or per second.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelDemand {
     /// The model.
--- a/src/logic/direct/observation.rs
+++ b/src/logic/direct/observation.rs
@@ -3,7 +3,7 @@
 /// A router's observation of an endpoint that may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Observation {
-    /// It answers, has sent something since the probe was asked for, or refuses new
+    /// It answers, has sent something since the probe was sent or asked for, or refuses new
     /// connections while it still works on runs of this router.
     Alive,
     /// It sent nothing in time.
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -122,9 +122,9 @@
     state.router_peak.record(now, window, routers);
 }
 
-/// Time from the first reading of the routers until this one sends retries. Before a restart
-/// this process may have used up the budget of a whole window, which isn't the case at the
-/// first start of the system.
+/// Time from the first reading of the routers until this one sends retries. An earlier process of
+/// this router may have spent all that a window allows, for requests that this one hasn't counted.
+/// At the first start of the system there was none.
 fn retry_delay_ms(state: &DirectState) -> Millis {
     if state.plan.first_start {
         DISCOVERY_MS
@@ -175,8 +175,8 @@
     numbers
 }
 
-/// Number of routers that a router notifies once its store answers again. Each of them that
-/// finds the same notifies as many: with 3, all of 400 know after six steps.
+/// Number of routers that a router notifies once its store answers again, however large the fleet
+/// is. Each of them that finds the same notifies as many: with 3, all of 400 know after six steps.
 const STORE_BACK_FANOUT: usize = 3;
 
 /// Notifies some other routers that the store answers again; each of them tries it itself.
--- a/src/logic/direct/plan/place.rs
+++ b/src/logic/direct/plan/place.rs
@@ -10,15 +10,16 @@
 /// Part of the wanted capacity at which a model is half as useful as it can be.
 const HALF_USE_FACTOR: f64 = 0.35;
 
-/// Worth of a domain's first spare; the capacity of all models together is worth at most 1.
+/// Worth of the first spare of a domain, averaged over the domains; the capacity of all models
+/// together is worth at most 1.
 const SPARE_WORTH: f64 = 0.02;
 
 /// Spares of one domain that have any worth. If more are needed, a small group ends to
 /// provide them.
 const MAX_USEFUL_SPARES: usize = 2;
 
-/// Worth of each model in a domain beyond the first: a group of one model can end so that a
-/// group of another that has lost a member is complete again.
+/// Worth of each model in a domain beyond the first, averaged over the domains: a group of one
+/// model can end so that a group of another that has lost a member is complete again.
 const FURTHER_MODEL_WORTH: f64 = 0.015;
 
 /// Size and share of a model for the placement.
@@ -26,7 +27,8 @@
 pub struct PlacementModel {
     /// Instances of one group.
     pub size: usize,
-    /// Part of all instances that it should get, in thousandths.
+    /// Part of all instances that it should get, in thousandths: its published share of the work,
+    /// which is taken as its share of the instances.
     pub share: u64,
 }
 
--- a/src/logic/direct/plan/plan_state.rs
+++ b/src/logic/direct/plan/plan_state.rs
@@ -16,7 +16,8 @@
     pub lease: PlannerLease,
     /// Whether this router held the planner lease at the last tick.
     pub was_planner: bool,
-    /// When the whole list may be requested again, while it is older than the planner lease.
+    /// When the whole list may be requested again, while it is incomplete or older than the planner
+    /// lease.
     pub reread_at: Millis,
     /// When the next planning pass is due.
     pub next_pass: Millis,
--- a/src/logic/direct/plan/planner_lease.rs
+++ b/src/logic/direct/plan/planner_lease.rs
@@ -103,7 +103,8 @@
         return;
     }
     let own = planner_lease.lease_id.filter(|_| planner_lease.fence > 0);
-    // The key names this instance, but no own lease is held: an earlier process wrote it.
+    // If the key names this instance while it holds no lease, an earlier process wrote it, and it
+    // counts as free.
     let is_own_key = planner_lease.holder.as_deref() == Some(state.own_id.as_str());
     let is_free = planner_lease.watched && (planner_lease.holder.is_none() || is_own_key);
     let (purpose, op) = match (own, planner_lease.lease_id) {
--- a/src/logic/direct/plan/planning_pass.rs
+++ b/src/logic/direct/plan/planning_pass.rs
@@ -8,7 +8,7 @@
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::Millis;
 
-/// Endpoints per millisecond between two planning passes.
+/// Endpoints for which the interval between two planning passes grows by 1 ms.
 const ENDPOINTS_PER_MS: Millis = 10;
 
 /// Interval at which a new planner requests the whole list until it is current.
@@ -63,8 +63,8 @@
     is_complete && state.listed_at >= state.plan.lease.taken_at
 }
 
-/// Requests the whole list while it is older than the planner lease: in a large fleet this
-/// takes far less time than catching up by single changes.
+/// Requests the whole list while it is incomplete or older than the planner lease: in a large fleet
+/// this takes far less time than catching up by single changes.
 fn request_list(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     if is_list_current(state) || now < state.plan.reread_at {
         return;
@@ -88,7 +88,7 @@
     plan.idle.clear();
 }
 
-/// Interval between log events on what models need: a few of them fall into each repair.
+/// Interval between log events on what models need: few lines, and enough to follow a repair by.
 const NEEDS_LOG_INTERVAL_MS: Millis = 5_000;
 
 /// Logs the groups that each model has and needs.
--- a/src/logic/direct/plan/probe.rs
+++ b/src/logic/direct/plan/probe.rs
@@ -16,8 +16,8 @@
 /// Shortest time between two probes of a lost endpoint that sends heartbeats again.
 const LOST_PROBE_INTERVAL_MS: Millis = 1_000;
 
-/// Other routers, at most, that are asked about a head that didn't answer. None of them
-/// may find it alive: a few routers may be cut off from it together.
+/// Most other routers that are asked about a head that didn't answer. All of them must answer, and
+/// none may find it alive, as a few routers may be cut off from it together.
 const MAX_ASKED_ROUTERS: usize = 4;
 
 /// Shortest time between two rounds of questions to other routers about one head: as long
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -42,9 +42,9 @@
 /// that it needs while demand is unknown: work comes unevenly, so further groups help.
 const HEADROOM_FACTOR: f64 = 1.35;
 
-/// What groups add beyond the work that they serve, as a part of the model's weight for each
-/// time the needed number, counted up to twice. A group beyond the need serves a little
-/// sooner and can be traded at once; it must add little compared with a needed one.
+/// Further worth of groups, as a part of the model's weight: this times the number of groups
+/// divided by the needed number, counted up to 2. A group beyond the need serves a little sooner
+/// and can be traded at once; it must add little compared with a needed one.
 const SURPLUS_FACTOR: f64 = 0.03;
 
 /// Part of what all instances would serve in time as groups of the model, from which on the
@@ -155,7 +155,8 @@
     }
 }
 
-/// What each model needs by its published share of all instances.
+/// What each model needs while demand is unknown or not used: its published share of the work is taken as its
+/// share of all instances.
 fn needs_by_share(state: &DirectState, engine: &EngineSpec) -> Vec<ModelNeed> {
     let all = state.plan.engine_peak.max(1);
     let need = |m: &EngineModel| {
--- a/src/logic/direct/queue.rs
+++ b/src/logic/direct/queue.rs
@@ -27,8 +27,8 @@
 /// How long a request may wait if its caller names no time.
 const DEFAULT_WAIT_MS: Millis = 500;
 
-/// Most requests held until the routing and the endpoint list are known. At the target
-/// fleet size a router gets 32 a second.
+/// Most requests held until the routing and the endpoint list are known, or until the routing was
+/// read again after a pause. At the target fleet size a router gets 32 a second.
 const MAX_HELD: usize = 256;
 
 /// How long a request may wait whose caller waits for `wait` milliseconds.
@@ -159,8 +159,8 @@
     sorted.into_iter().map(|(.., id)| id).collect()
 }
 
-/// Ends the wait of requests whose time to wait is over, in the queues and among those held
-/// until the routing is known.
+/// Ends the wait of requests whose time to wait is over, in the queues and among those held by
+/// `hold`.
 pub(super) fn on_tick(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let waiting = state.queues.values().flat_map(|l| l.waiting.iter());
     let waiting: Vec<u64> = waiting.map(|(.., id)| *id).collect();
@@ -194,8 +194,8 @@
     now >= wait_end(flight, id, effective)
 }
 
-/// Holds a request until the routing and the endpoint list are known; false if there are too
-/// many.
+/// Holds a request until the routing and the endpoint list are known and no reading of the routing
+/// after a pause is awaited; false if there are too many.
 pub(super) fn hold(state: &mut DirectState, now: Millis, request: &DirectRequest) -> bool {
     let has_room = state.held_requests.len() < MAX_HELD;
     if has_room {
@@ -204,7 +204,8 @@
     has_room
 }
 
-/// Admits the held requests once the routing and the endpoint list are known.
+/// Admits the held requests once the routing and the endpoint list are known and no reading of the
+/// routing after a pause is awaited.
 pub(super) fn admit_held(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     if state.routing.is_none() || !state.listed || state.pause.waiting_since.is_some() {
         return;
--- a/src/logic/direct/send.rs
+++ b/src/logic/direct/send.rs
@@ -98,8 +98,8 @@
     true
 }
 
-/// Retries a request after a failed run if its route and the retry budget allow it, and
-/// gives it up otherwise.
+/// Retries a request after a failed run if its route, the number of its sends, its crash record and
+/// the retry budget allow it, and gives it up otherwise.
 ///
 /// `may_have_run` is false if the endpoint can't have run it.
 pub(super) fn retry(
--- a/src/logic/direct/step.rs
+++ b/src/logic/direct/step.rs
@@ -57,8 +57,8 @@
         }
         DirectEvent::StoreEra(era) => store_restore::on_store_era(state, now, era, out),
         DirectEvent::ListRead { at, entries } => {
-            // The entries of an era's first reading are no updates, so that the updates begin
-            // after its position.
+            // The first reading of an era continues no earlier position: its batch begins and ends
+            // at `at`, so that routers which haven't reached that position read the list.
             let before = if state.list_applied && state.listed_at.era == at.era {
                 state.listed_at
             } else {
--- a/src/logic/direct/tree.rs
+++ b/src/logic/direct/tree.rs
@@ -1,9 +1,9 @@
 //! The trees along which routers forward digests and report their demand.
 //!
-//! Each router sorts all routers that it knows by a hash of their ids, with the planner first
-//! as the root. The children of the router at index `n` are the `FAN_OUT` ones from index
-//! `n * FAN_OUT + 1` on, so that no router sends more however many there are. The order of
-//! two routers doesn't depend on which others are known, so a digest can't go in a circle.
+//! Each router sorts all routers that it knows by a hash of the tree, the root and their ids, with
+//! the planner first as the root. The children of the router at index `n` are the `FAN_OUT` ones
+//! from index `n * FAN_OUT + 1` on, so that no router sends more however many there are. The order
+//! of two routers doesn't depend on which others are known, so a digest can't go in a circle.
 
 use std::net::SocketAddr;
 
--- a/tests/direct/staging.rs
+++ b/tests/direct/staging.rs
@@ -5,7 +5,8 @@
 
 use crate::fixture::{engine, open_group, order, seat, Router};
 
-/// A spare without a group, whose host stores the small model.
+/// The entry of a spare whose host stores the small model. An endpoint that was listed with the
+/// large model before can serve both.
 fn spare_with_two(n: u16) -> (InstanceId, EndpointEntry) {
     let (id, mut entry) = engine(n, None);
     entry.model = None;
