--- a/src/logic/direct/answer.rs
+++ b/src/logic/direct/answer.rs
@@ -10,8 +10,9 @@
 /// Lowest HTTP status of a server error.
 const MIN_SERVER_ERROR: u16 = 500;
 
-/// Status of an endpoint that ran out of the request's time. Its answer is passed on to the caller
-/// and not retried, unless part of a stream was sent already.
+/// Status of an endpoint that ran out of the request's time. Unlike other server errors it is no
+/// reason to retry: the answer is passed on to the caller, unless the endpoint didn't run the
+/// request or part of a stream was sent already.
 const GATEWAY_TIMEOUT: u16 = 504;
 
 /// Handles one part of an endpoint's answer.
@@ -127,7 +128,7 @@
     let failed = status >= MIN_SERVER_ERROR && status != GATEWAY_TIMEOUT;
     let is_last = flight.runs >= flight.route.attempts || !flight.route.repeatable();
     if not_run {
-        endpoints::on_overload(state, now, id);
+        endpoints::on_full(state, now, id);
         endpoints::release_run(state, id);
         return send::retry(state, now, id, false, "the endpoint did not run it", out);
     }
--- a/src/logic/direct/concurrency_limit.rs
+++ b/src/logic/direct/concurrency_limit.rs
@@ -11,10 +11,10 @@
 use crate::types::{EngineSpec, InstanceId, Millis};
 
 /// One run in the unit of limits, thousandths of a run.
-const RUN_PER_MILLE: u64 = 1_000;
+const RUN_MILLI: u64 = 1_000;
 
 /// Lowest limit of all, so that two requests of a router can overlap.
-const MIN_LIMIT_PER_MILLE: u64 = 2 * RUN_PER_MILLE;
+const MIN_LIMIT_MILLI: u64 = 2 * RUN_MILLI;
 
 /// Lowest limit relative to the even share of the slots. A fixed floor of 8 runs let 14
 /// routers have 112 runs at a head with 48 slots: on an overloaded fleet 12 % of the main
@@ -89,7 +89,7 @@
         Precedence::Fresh if flight.is_late(now) => limit * LATE_LIMIT_PERCENT / 100,
         Precedence::Fresh => limit,
     };
-    u64::from(view.running) * RUN_PER_MILLE < limit
+    u64::from(view.running) * RUN_MILLI < limit
 }
 
 /// Limit in force, in thousandths of a run; the even share of the slots at first.
@@ -97,17 +97,17 @@
     if view.limit > 0 {
         return view.limit;
     }
-    even_share(view, routers).max(MIN_LIMIT_PER_MILLE)
+    even_share(view, routers).max(MIN_LIMIT_MILLI)
 }
 
 /// Each router's even share of the slots, in thousandths of a run.
 fn even_share(view: &EndpointView, routers: u64) -> u64 {
-    u64::from(view.entry.slots) * RUN_PER_MILLE / routers.max(1)
+    u64::from(view.entry.slots) * RUN_MILLI / routers.max(1)
 }
 
 /// Lowest limit of a head, in thousandths of a run.
 fn min_limit(view: &EndpointView, routers: u64) -> u64 {
-    (even_share(view, routers) * MIN_LIMIT_PERCENT / 100).max(MIN_LIMIT_PER_MILLE)
+    (even_share(view, routers) * MIN_LIMIT_PERCENT / 100).max(MIN_LIMIT_MILLI)
 }
 
 /// Handles a run that began after `took` milliseconds, with an objective of `target`.
@@ -123,7 +123,7 @@
         return;
     };
     let limit = current_limit(view, routers);
-    let max = u64::from(view.entry.slots.max(1)) * RUN_PER_MILLE;
+    let max = u64::from(view.entry.slots.max(1)) * RUN_MILLI;
     let grown = view.quickest_start + view.quickest_start / QUICKEST_GROWTH_DIVISOR + 1;
     view.quickest_start = if view.quickest_start == 0 {
         took
@@ -135,8 +135,7 @@
     if took > target {
         lower(view, now, limit, LATE_PERCENT, min_limit(view, routers));
     } else if took <= well_in_time {
-        view.limit =
-            (limit + RUN_PER_MILLE * RUN_PER_MILLE / limit).min(max.max(MIN_LIMIT_PER_MILLE));
+        view.limit = (limit + RUN_MILLI * RUN_MILLI / limit).min(max.max(MIN_LIMIT_MILLI));
     }
 }
 
--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -28,13 +28,13 @@
     }
 
     /// Number of crashes that count against the request.
-    pub fn suspected(&self) -> usize {
+    pub fn counted_crashes(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
     }
 
     /// Whether routers refuse the request.
     pub fn is_blocked(&self) -> bool {
-        self.suspected() >= MIN_BLOCKING_CRASHES
+        self.counted_crashes() >= MIN_BLOCKING_CRASHES
     }
 
     /// Adds the crashes and the cleared crashes of another record; returns whether this one has
@@ -54,7 +54,7 @@
 
     /// Marks all crashes so far as cleared; returns whether one of them still counted.
     pub fn clear(&mut self) -> bool {
-        let any = self.suspected() > 0;
+        let any = self.counted_crashes() > 0;
         self.cleared = self.crashes.clone();
         any
     }
--- a/src/logic/direct/crashes/crash_table.rs
+++ b/src/logic/direct/crashes/crash_table.rs
@@ -33,8 +33,8 @@
     }
 
     /// Number of crashes that count against a request.
-    pub fn suspected(&self, request: &Fingerprint) -> usize {
-        self.get(request).map_or(0, CrashRecord::suspected)
+    pub fn counted_crashes(&self, request: &Fingerprint) -> usize {
+        self.get(request).map_or(0, CrashRecord::counted_crashes)
     }
 
     /// Whether routers refuse a request.
@@ -89,7 +89,8 @@
         if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let fewest = |(_, e): &(&Fingerprint, &TableEntry)| (e.record.suspected(), e.updated_at);
+        let fewest =
+            |(_, e): &(&Fingerprint, &TableEntry)| (e.record.counted_crashes(), e.updated_at);
         let fewest = self.records.iter().min_by_key(fewest);
         if let Some(request) = fewest.map(|(request, _)| *request) {
             self.records.remove(&request);
--- a/src/logic/direct/crashes/detect.rs
+++ b/src/logic/direct/crashes/detect.rs
@@ -102,7 +102,7 @@
             .with("fingerprint", request)
             .with("endpoint", id)
             .with("born", crash.born.unwrap_or(0))
-            .with("crashes", state.crashes.table.suspected(&request));
+            .with("crashes", state.crashes.table.counted_crashes(&request));
         out.push(Effect::Log(event));
     }
     broadcast::send_due(state, now, out);
@@ -190,7 +190,7 @@
         ));
     }
     let is_same = |f: &crate::logic::direct::InFlightRequest| f.fingerprint == *request;
-    let risky = state.crashes.table.suspected(request) >= MIN_RISKY_CRASHES;
+    let risky = state.crashes.table.counted_crashes(request) >= MIN_RISKY_CRASHES;
     if risky && state.in_flight.values().any(is_same) {
         let retry = Problem::NotRun(state.params.again_ms);
         return Some((
@@ -208,7 +208,7 @@
     let unconfirmed = suspected_crashes
         .filter(|d| d.requests.contains(request))
         .count();
-    state.crashes.table.suspected(request) + unconfirmed >= MIN_RISKY_CRASHES
+    state.crashes.table.counted_crashes(request) + unconfirmed >= MIN_RISKY_CRASHES
 }
 
 /// Removes what has expired, sends the probes that are due, and passes changed records on to
--- a/src/logic/direct/endpoint_view.rs
+++ b/src/logic/direct/endpoint_view.rs
@@ -44,7 +44,7 @@
     pub failures: u32,
     /// Since when it has been silent, while it is.
     pub silent_since: Option<Millis>,
-    /// When its silence was last reported to the planner, or examined by this router as the
+    /// When it was last reported to the planner as suspected, or examined by this router as the
     /// planner.
     pub reported_at: Millis,
     /// Usual longest pause between parts of its answers while it has work, in milliseconds.
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -364,7 +364,7 @@
 
 /// The endpoint rejected a request because it had no room: it is backed off from for
 /// `FULL_BACKOFF_MS`, and its limit is lowered unless that was done just before.
-pub(super) fn on_overload(state: &mut DirectState, now: Millis, request: u64) {
+pub(super) fn on_full(state: &mut DirectState, now: Millis, request: u64) {
     if let Some(view) = run_endpoint_mut(state, request) {
         view.backoff_until = view.backoff_until.max(now + FULL_BACKOFF_MS);
     }
--- a/src/logic/direct/observation_request.rs
+++ b/src/logic/direct/observation_request.rs
@@ -2,7 +2,7 @@
 
 use crate::types::Millis;
 
-/// Another router's request for an observation of an endpoint.
+/// Another router's probe request, which asks for an observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObservationRequest {
     /// Address that the answer goes to.
--- a/src/logic/direct/peer_message.rs
+++ b/src/logic/direct/peer_message.rs
@@ -18,7 +18,8 @@
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// An endpoint that works for the sender is silent. Sent to the planner.
+    /// An endpoint that works for the sender has sent nothing for a while and is suspected of being
+    /// lost. Sent to the planner.
     Silent {
         /// The endpoint.
         id: InstanceId,
--- a/src/logic/direct/peers.rs
+++ b/src/logic/direct/peers.rs
@@ -151,18 +151,18 @@
     };
 }
 
-/// Asks up to `most` other routers to probe an endpoint; returns the numbers of these requests.
+/// Asks up to `max` other routers to probe an endpoint; returns the numbers of these requests.
 pub(super) fn send_probe_requests(
     state: &mut DirectState,
     id: &InstanceId,
-    most: usize,
+    max: usize,
     out: &mut Vec<Effect>,
 ) -> Vec<u64> {
     let Some(addr) = state.endpoints.get(id).map(|v| v.entry.addr) else {
         return Vec::new();
     };
     let mut numbers = Vec::new();
-    for to in pick_peers(state, most) {
+    for to in pick_peers(state, max) {
         let number = state.next_number();
         let message = PeerMessage::Ask {
             number,
@@ -187,11 +187,11 @@
     }
 }
 
-/// Up to `most` other routers, drawn at random.
-fn pick_peers(state: &mut DirectState, most: usize) -> Vec<SocketAddr> {
+/// Up to `max` other routers, drawn at random.
+fn pick_peers(state: &mut DirectState, max: usize) -> Vec<SocketAddr> {
     let mut peers: Vec<SocketAddr> = state.peers.values().copied().collect();
     let mut drawn = Vec::new();
-    while !peers.is_empty() && drawn.len() < most {
+    while !peers.is_empty() && drawn.len() < max {
         let at = state.random_below(peers.len() as u64) as usize;
         drawn.push(peers.swap_remove(at));
     }
@@ -226,15 +226,15 @@
         }
         PeerMessage::StoreBack => out.push(Effect::Direct(DirectEffect::RetryStore)),
         PeerMessage::Traffic => state.plan.has_traffic = true,
-        PeerMessage::Silent { id } => plan::on_head_silent(state, now, &id, out),
+        PeerMessage::Silent { id } => plan::on_head_suspected(state, now, &id, out),
         PeerMessage::Rate { id, rate } => rate_limit::on_peer_rate(state, now, &id, rate, out),
         PeerMessage::Crashes(reports) => crashes::on_crash_reports(state, now, &reports, out),
         PeerMessage::Seen { number, sight } => plan::on_observation(state, number, sight),
     }
 }
 
-/// Notifies the planner that an endpoint is silent here.
-pub(super) fn notify_silence(state: &DirectState, id: &InstanceId, out: &mut Vec<Effect>) {
+/// Notifies the planner that this router suspects an endpoint of being lost.
+pub(super) fn notify_suspected(state: &DirectState, id: &InstanceId, out: &mut Vec<Effect>) {
     notify_planner(state, PeerMessage::Silent { id: id.clone() }, out);
 }
 
--- a/src/logic/direct/plan/load_budget.rs
+++ b/src/logic/direct/plan/load_budget.rs
@@ -1,7 +1,7 @@
 use crate::types::Millis;
 
 /// One load, in thousandths.
-const ONE_LOAD_PER_MILLE: u64 = 1_000;
+const ONE_LOAD_MILLI: u64 = 1_000;
 
 /// A token bucket for loads from the weight store.
 ///
@@ -29,8 +29,10 @@
     /// Refills it up to `now`. `rate` is the number of loads that may begin in 1,000 seconds.
     /// The budget holds at most one load and a quarter of those that may begin in a second.
     pub fn fill(&mut self, now: Millis, rate: u64) {
-        let max = ONE_LOAD_PER_MILLE + rate / 4;
-        let gained = now.saturating_sub(self.filled_at) * rate / ONE_LOAD_PER_MILLE;
+        let max = ONE_LOAD_MILLI + rate / 4;
+        // `rate` is also thousandths of a load per second: the divisor is 1,000 ms, the same number
+        // as `ONE_LOAD_MILLI`.
+        let gained = now.saturating_sub(self.filled_at) * rate / ONE_LOAD_MILLI;
         if gained > 0 {
             self.available = (self.available + gained).min(max);
             self.filled_at = now;
@@ -39,11 +41,11 @@
 
     /// Whether a load may begin.
     pub fn has_room(&self) -> bool {
-        self.available >= ONE_LOAD_PER_MILLE
+        self.available >= ONE_LOAD_MILLI
     }
 
     /// Counts a load that begins.
     pub fn take(&mut self) {
-        self.available = self.available.saturating_sub(ONE_LOAD_PER_MILLE);
+        self.available = self.available.saturating_sub(ONE_LOAD_MILLI);
     }
 }
--- a/src/logic/direct/plan/model_load.rs
+++ b/src/logic/direct/plan/model_load.rs
@@ -8,10 +8,10 @@
 
 /// Part of the demand served from which on further groups are only evaluated while they add
 /// something. Below it a few more groups may add nothing although many more do.
-const NEARLY_ALL_FACTOR: f64 = 0.9;
+const NEARLY_ALL_SERVED: f64 = 0.9;
 
 /// What further groups must add from there on, as a part of the demand.
-const MIN_GAIN_FACTOR: f64 = 1e-4;
+const MIN_GAIN: f64 = 1e-4;
 
 /// Largest number of points of the curve that are computed: the work of a planning pass
 /// should not grow with the fleet, as a planner may have only a fifth of a core.
@@ -23,7 +23,7 @@
 
 /// Utilization of a group from which on it is taken to serve nothing in time, as passes
 /// grow without bound.
-const MAX_UTILIZATION_FACTOR: f64 = 0.95;
+const MAX_UTILIZATION: f64 = 0.95;
 
 /// Credit of a late answer relative to one in time, as operators count it.
 const LATE_CREDIT_FACTOR: f64 = 0.25;
@@ -92,7 +92,7 @@
             let steps = groups + 1 - curve.len();
             let interpolated = |n: usize| last + (served - last) * n as f64 / steps as f64;
             curve.extend((1..=steps).map(interpolated));
-            if last > NEARLY_ALL_FACTOR && served - last < MIN_GAIN_FACTOR {
+            if last > NEARLY_ALL_SERVED && served - last < MIN_GAIN {
                 break;
             }
             last = served;
@@ -105,7 +105,7 @@
         let rate_per_ms = rate / 1_000.0;
         let prompt_read_ms = self.prompt_tokens * self.read_ms;
         let utilization = rate_per_ms * (prompt_read_ms + self.answer_tokens * self.sequence_ms);
-        if utilization >= MAX_UTILIZATION_FACTOR {
+        if utilization >= MAX_UTILIZATION {
             return 0.0;
         }
         let stride = self.stride.max(1.0);
--- a/src/logic/direct/plan/place.rs
+++ b/src/logic/direct/plan/place.rs
@@ -8,7 +8,7 @@
 const MAX_ROUNDS: usize = 12;
 
 /// Part of the wanted capacity at which a model is half as useful as it can be.
-const HALF_USE_FACTOR: f64 = 0.35;
+const HALF_USE_RATIO: f64 = 0.35;
 
 /// Worth of the first spare of a domain, averaged over the domains; the capacity of all models
 /// together is worth at most 1.
@@ -104,7 +104,7 @@
         let share = model.share as f64 / 1_000.0;
         let wanted = all as f64 * share;
         let ratio = (groups * model.size) as f64 / wanted.max(1.0);
-        sum += share * ratio / (ratio + HALF_USE_FACTOR);
+        sum += share * ratio / (ratio + HALF_USE_RATIO);
     }
     sum
 }
--- a/src/logic/direct/plan/planner_lease.rs
+++ b/src/logic/direct/plan/planner_lease.rs
@@ -29,8 +29,8 @@
 const MAX_JITTER_PER_ROUTER_MS: u64 = 4;
 
 fn jitter_ms(state: &mut DirectState) -> Millis {
-    let most = MAX_JITTER_MS + MAX_JITTER_PER_ROUTER_MS * state.peers.len() as u64;
-    state.random_below(most)
+    let max = MAX_JITTER_MS + MAX_JITTER_PER_ROUTER_MS * state.peers.len() as u64;
+    state.random_below(max)
 }
 
 /// State of the planner lease as this router knows it.
--- a/src/logic/direct/plan/probe.rs
+++ b/src/logic/direct/plan/probe.rs
@@ -20,8 +20,8 @@
 /// none may find it alive, as a few routers may be cut off from it together.
 const MAX_ASKED_ROUTERS: usize = 4;
 
-/// Shortest time between two rounds of questions to other routers about one head: as long
-/// as an ending group waits for their answers.
+/// Shortest time between two rounds of probe requests to other routers about one head: as long as
+/// an ending group waits for their answers.
 const ASK_INTERVAL_MS: Millis = 400;
 
 /// Probes of one endpoint.
@@ -33,8 +33,8 @@
     pub misses: u32,
     /// When the last probe was sent; 0 before the first.
     pub sent_at: Millis,
-    /// Numbers of the questions to other routers that await answers.
-    pub questions: Vec<u64>,
+    /// Numbers of the probe requests to other routers that await answers.
+    pub probe_requests: Vec<u64>,
     /// When other routers were last asked; 0 before that.
     pub asked_at: Millis,
     /// This router's own observation, by its last probe.
@@ -62,8 +62,9 @@
     }
 }
 
-/// Handles a report that a head is silent: the planner probes all members of its group.
-pub(in crate::logic::direct) fn on_head_silent(
+/// Handles a report that an endpoint is suspected of being lost, as it has sent nothing for a
+/// while: the planner probes all members of its group.
+pub(in crate::logic::direct) fn on_head_suspected(
     state: &mut DirectState,
     now: Millis,
     head: &InstanceId,
@@ -194,7 +195,7 @@
     }
     let asked = peers::send_probe_requests(state, id, MAX_ASKED_ROUTERS, out);
     if let Some(probe) = state.plan.probes.get_mut(id) {
-        probe.questions = asked;
+        probe.probe_requests = asked;
         probe.asked_at = now;
         probe.others.clear();
     }
@@ -207,8 +208,8 @@
     observation: Observation,
 ) {
     for probe in state.plan.probes.values_mut() {
-        if let Some(at) = probe.questions.iter().position(|n| *n == number) {
-            probe.questions.swap_remove(at);
+        if let Some(at) = probe.probe_requests.iter().position(|n| *n == number) {
+            probe.probe_requests.swap_remove(at);
             probe.others.push(observation);
         }
     }
--- a/src/logic/direct/plan/value.rs
+++ b/src/logic/direct/plan/value.rs
@@ -49,7 +49,7 @@
 
 /// Part of what all instances would serve in time as groups of the model, from which on the
 /// model has as many groups as it needs.
-const ENOUGH_FACTOR: f64 = 0.98;
+const ENOUGH_PART: f64 = 0.98;
 
 /// Part of a model's weight that follows demand; the rest follows its published share. The
 /// worth of a request isn't published, and a model with little demand has callers of its
@@ -77,7 +77,7 @@
         let max = parts.last().copied().unwrap_or(0.0);
         let groups = parts
             .iter()
-            .position(|p| *p >= max * ENOUGH_FACTOR)
+            .position(|p| *p >= max * ENOUGH_PART)
             .unwrap_or(0) as f64;
         Self {
             groups,
@@ -155,8 +155,8 @@
     }
 }
 
-/// What each model needs while demand is unknown or not used: its published share of the work is taken as its
-/// share of all instances.
+/// What each model needs while demand is unknown or not used: its published share of the work is
+/// taken as its share of all instances.
 fn needs_by_share(state: &DirectState, engine: &EngineSpec) -> Vec<ModelNeed> {
     let all = state.plan.engine_peak.max(1);
     let need = |m: &EngineModel| {
--- a/src/logic/direct/probe_result.rs
+++ b/src/logic/direct/probe_result.rs
@@ -1,6 +1,6 @@
 use crate::types::GroupSeat;
 
-/// Result of a probe: an endpoint's answer to a question for its report.
+/// Result of a probe, which asks an endpoint for its report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProbeResult {
     /// It answers.
--- a/src/logic/direct/process_pause.rs
+++ b/src/logic/direct/process_pause.rs
@@ -14,16 +14,16 @@
 /// Longest time that requests wait for the routing to be read.
 const MAX_WAIT_MS: Millis = 1_000;
 
-/// Read of the routing that requests wait for after a pause.
+/// Reading of the routing that requests wait for after a pause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RoutingRecheck {
-    /// Number of the last read that was requested.
+    /// Number of the last reading that was requested.
     pub read_number: u64,
     /// Time at which it was requested, while requests wait for it.
     pub waiting_since: Option<Millis>,
 }
 
-/// Detects a pause before this event, and requests a read of the routing after one.
+/// Detects a pause before this event, and requests a reading of the routing after one.
 pub(super) fn detect(state: &mut DirectState, now: Millis, out: &mut Vec<Effect>) {
     let paused = now.saturating_sub(state.ticked_at);
     if paused < MIN_PAUSE_MS || state.pause.waiting_since.is_some() || state.routing.is_none() {
@@ -38,7 +38,7 @@
     out.push(Effect::Direct(DirectEffect::ReadRouting { read_number }));
 }
 
-/// Handles the result of a read of the routing that began after it was requested; `read_number`
+/// Handles the result of a reading of the routing that began after it was requested; `read_number`
 /// is its number.
 pub(super) fn on_routing_checked(state: &mut DirectState, read_number: u64) {
     if read_number == state.pause.read_number {
--- a/src/logic/direct/silence.rs
+++ b/src/logic/direct/silence.rs
@@ -70,17 +70,17 @@
     }
     for id in suspected {
         if state.plan.lease.holds(now) {
-            plan::on_head_silent(state, now, &id, out);
+            plan::on_head_suspected(state, now, &id, out);
         } else {
-            peers::notify_silence(state, &id, out);
+            peers::notify_suspected(state, &id, out);
         }
     }
     if !state.params.is_enabled(Mechanism::Silence) {
         return;
     }
     move_from_ended_groups(state, now, out);
-    for (id, lost) in silent {
-        if lost || plan::is_in_retired_group(state, &id) {
+    for (id, must_move) in silent {
+        if must_move || plan::is_in_retired_group(state, &id) {
             move_streams(state, now, &id, false, out);
         }
     }
--- a/tests/direct/answers.rs
+++ b/tests/direct/answers.rs
@@ -46,11 +46,11 @@
         first.avoid_stale,
         "no connection that the endpoint may be closing"
     );
-    let shed = RunPart::Complete {
+    let refused = RunPart::Complete {
         status: 503,
         not_run: true,
     };
-    let second = run(&router.part(first.run, shed));
+    let second = run(&router.part(first.run, refused));
     assert_ne!(second.to, first.to);
     let end = router.part(second.run, RunPart::Broken);
     assert_eq!(problem(&end), Some(Problem::Unknown), "it may have run");
--- a/tests/direct/crashes.rs
+++ b/tests/direct/crashes.rs
@@ -194,7 +194,7 @@
     router.answer_probe(run(&sent).to.as_str(), alive);
     let table = &router.state().crashes.table;
     assert_eq!(
-        table.suspected(&fatal(1).fingerprint.for_account(Some("ann"))),
+        table.counted_crashes(&fatal(1).fingerprint.for_account(Some("ann"))),
         1
     );
 }
--- a/tests/direct/lag.rs
+++ b/tests/direct/lag.rs
@@ -18,9 +18,9 @@
     effects.iter().filter(join).count()
 }
 
-/// Guards against a new planner that places endpoints by a list older than its lease, which
-/// happens where the list of a large fleet lags (seen with 300 machines). The planner before may
-/// have placed them already, and they would join another group while their own is open.
+/// Guards against a new planner that places endpoints by a list older than its lease, which happens
+/// where the list of a large fleet lags (seen with 300 instances). The planner before may have
+/// placed them already, and they would join another group while their own is open.
 #[test]
 fn a_new_planner_waits_for_a_list_as_new_as_its_lease() {
     let mut router = Router::bare();
--- a/tests/direct/repair.rs
+++ b/tests/direct/repair.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// Numbers of the questions to other routers.
-fn question_numbers(router: &mut Router) -> Vec<u64> {
+/// Numbers of the probe requests to other routers.
+fn request_numbers(router: &mut Router) -> Vec<u64> {
     let number = |e: &DirectEffect| match e {
         DirectEffect::SendMessage {
             message: PeerMessage::Ask { number, .. },
@@ -118,8 +118,8 @@
         add_peers(&mut router);
         router.take_effects();
         router.answer_probe("e1", ProbeResult::Refused);
-        let question_numbers = question_numbers(&mut router);
-        for (n, number) in question_numbers.into_iter().enumerate() {
+        let request_numbers = request_numbers(&mut router);
+        for (n, number) in request_numbers.into_iter().enumerate() {
             let sight = if n == 3 { last } else { Observation::Refuses };
             report(&mut router, number, sight);
         }
@@ -134,7 +134,7 @@
     add_peers(&mut router);
     router.take_effects();
     router.answer_probe("e1", ProbeResult::Refused);
-    for number in question_numbers(&mut router) {
+    for number in request_numbers(&mut router) {
         report(&mut router, number, Observation::Alive);
     }
     router.advance_ms(2_500);
@@ -183,9 +183,9 @@
         add_peers(&mut router);
         router.take_effects();
         lose(&mut router, "e1");
-        let question_numbers = question_numbers(&mut router);
-        assert_eq!(question_numbers.len(), 4);
-        for (n, number) in question_numbers.into_iter().enumerate() {
+        let request_numbers = request_numbers(&mut router);
+        assert_eq!(request_numbers.len(), 4);
+        for (n, number) in request_numbers.into_iter().enumerate() {
             // One router that finds it alive is enough to keep it.
             let sight = if !agree && n == 3 {
                 Observation::Alive
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -57,7 +57,7 @@
     let (standin, routers) = fleet(5, dir.path());
     let copy = standin.world().copy();
     standin.world().write_unrelated(LOST);
-    // The planner lease is taken anew, at a revision above those of the copy.
+    // The planner lease is taken anew, at a revision above those of the backup.
     let mut routers = routers;
     routers
         .iter_mut()
--- a/tests/direct/retries.rs
+++ b/tests/direct/retries.rs
@@ -48,8 +48,8 @@
 }
 
 /// Sends requests whose first endpoint has no room; a retry is served.
-fn send_shed_requests(router: &mut Router, requests: u64, count: &mut Count) {
-    let sheds = RunPart::Complete {
+fn send_refused_requests(router: &mut Router, requests: u64, count: &mut Count) {
+    let refuses = RunPart::Complete {
         status: 503,
         not_run: true,
     };
@@ -60,7 +60,7 @@
     for _ in 0..requests {
         count.requests += 1;
         let first = run(&router.ask(1_000 + count.requests, "/safe/x"));
-        let effects = router.part(first.run, sheds.clone());
+        let effects = router.part(first.run, refuses.clone());
         if effects.iter().any(|e| matches!(e, DirectEffect::Run(_))) {
             count.retries += 1;
             router.part(run(&effects).run, serves.clone());
@@ -76,11 +76,11 @@
     let mut router = router_with_peers(1_000, 10);
     router.advance_ms(2 * WINDOW_MS);
     let begin = router.now;
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     for start in [2_000, 4_500, 7_000] {
         let mut next = router_with_peers(begin + start, 10);
         next.advance_ms(500);
-        send_shed_requests(&mut next, 60, &mut count);
+        send_refused_requests(&mut next, 60, &mut count);
     }
     let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
@@ -94,9 +94,9 @@
     router.advance_ms(2 * WINDOW_MS - 1_030);
     assert_eq!(router.now, 2 * WINDOW_MS - 10, "just before a tenth ends");
     let mut count = Count::default();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     router.advance_ms(WINDOW_MS - 980);
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     let allowed = count.allowed(EXTRA_RETRIES / MIN_ROUTERS);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
@@ -108,10 +108,10 @@
     let mut router = router_with_peers(1_000, 51);
     router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     router.advance_ms(1_000);
     router.state().peers.clear();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     let allowed = count.allowed(EXTRA_RETRIES / 52);
     assert!(count.retries <= allowed, "{} of {allowed}", count.retries);
 }
@@ -122,11 +122,11 @@
     let mut router = router_with_peers(1_000, 10);
     router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
     router.advance_ms(2 * WINDOW_MS);
     let mut later = Count::default();
-    send_shed_requests(&mut router, 60, &mut later);
+    send_refused_requests(&mut router, 60, &mut later);
     assert_eq!(later.retries, later.allowed(EXTRA_RETRIES / MIN_ROUTERS));
 }
 
@@ -139,7 +139,7 @@
     router.state().plan.lease.next_call = u64::MAX;
     router.advance_ms(2 * WINDOW_MS);
     let mut count = Count::default();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     assert!(count.retries <= count.allowed(0), "{}", count.retries);
 }
 
@@ -150,7 +150,7 @@
     router.state().plan.first_start = true;
     router.advance_ms(2_000);
     let mut count = Count::default();
-    send_shed_requests(&mut router, 60, &mut count);
+    send_refused_requests(&mut router, 60, &mut count);
     assert_eq!(count.retries, count.allowed(EXTRA_RETRIES / MIN_ROUTERS));
 }
 
@@ -170,10 +170,10 @@
     }
     router.advance_ms(WINDOW_MS - 2_000);
     let mut count = Count::default();
-    send_shed_requests(&mut router, 100, &mut count);
+    send_refused_requests(&mut router, 100, &mut count);
     let mut next = router_with_peers(router.now + 500, 10);
     next.advance_ms(500);
-    send_shed_requests(&mut next, 100, &mut count);
+    send_refused_requests(&mut next, 100, &mut count);
     let earlier = 300.0 * RATIO;
     let allowed = count
         .allowed(EXTRA_RETRIES / MIN_ROUTERS)
