--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -9,7 +9,8 @@
 
 /// The crashes of endpoints that one request may have caused.
 ///
-/// Both sets only grow, so that the records of two routers can be merged by union in any order.
+/// Both sets only grow, so that the records of two routers can be merged by union in any order, as
+/// long as they have at most `MAX_CRASHES` crashes together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// Crashes of endpoints that ran the request and had sent no event of its answer.
