--- a/src/logic/direct/crashes/crash_record.rs
+++ b/src/logic/direct/crashes/crash_record.rs
@@ -9,7 +9,8 @@
 
 /// The crashes of endpoints that one request may have caused.
 ///
-/// Both sets only grow, so that the records of two routers are merged by union.
+/// Both sets only grow, so that the records of two routers can be merged by union in any order, as
+/// long as they have at most `MAX_CRASHES` crashes together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// Crashes of endpoints that ran the request and had sent no event of its answer.
@@ -28,16 +29,17 @@
     }
 
     /// Number of crashes that count against the request.
-    pub fn suspected(&self) -> usize {
+    pub fn counted_crashes(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
     }
 
     /// Whether routers refuse the request.
     pub fn is_blocked(&self) -> bool {
-        self.suspected() >= MIN_BLOCKING_CRASHES
+        self.counted_crashes() >= MIN_BLOCKING_CRASHES
     }
 
-    /// Adds the crashes of another record; returns whether this one has changed.
+    /// Adds the crashes and the cleared crashes of another record; returns whether this one has
+    /// changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.crashes.len() + self.cleared.len();
         for crash in &other.crashes {
@@ -53,7 +55,7 @@
 
     /// Marks all crashes so far as cleared; returns whether one of them still counted.
     pub fn clear(&mut self) -> bool {
-        let any = self.suspected() > 0;
+        let any = self.counted_crashes() > 0;
         self.cleared = self.crashes.clone();
         any
     }
--- a/src/logic/direct/endpoints.rs
+++ b/src/logic/direct/endpoints.rs
@@ -17,7 +17,7 @@
 /// Time for which an endpoint that had no room gets no new requests.
 const FULL_BACKOFF_MS: Millis = 60;
 
-/// Failures in a row from which the backoff no longer doubles.
+/// Failures in a row at which the backoff reaches its maximum.
 const MAX_BACKOFF_FAILURES: u32 = 3;
 
 /// Applies a complete reading of the endpoint list; endpoints that it lacks are unlisted.
@@ -304,8 +304,8 @@
     }
 }
 
-/// This router's observation of an endpoint, from the result of a probe that was asked for
-/// at `since` and from its own runs there.
+/// This router's observation of an endpoint, from the result of a probe that was sent, or asked for
+/// by another router, at `since`, and from its own runs there.
 pub(super) fn observation(
     state: &DirectState,
     now: Millis,
@@ -364,7 +364,7 @@
 
 /// The endpoint rejected a request because it had no room: it is backed off from for
 /// `FULL_BACKOFF_MS`, and its limit is lowered unless that was done just before.
-pub(super) fn on_overload(state: &mut DirectState, now: Millis, request: u64) {
+pub(super) fn on_full(state: &mut DirectState, now: Millis, request: u64) {
     if let Some(view) = run_endpoint_mut(state, request) {
         view.backoff_until = view.backoff_until.max(now + FULL_BACKOFF_MS);
     }
