--- a/src/host/suspension.rs
+++ b/src/host/suspension.rs
@@ -12,7 +12,7 @@
 pub struct SuspensionDetector {
     clock: Clock,
     start: Instant,
-    /// Difference between the two clocks at the last reported suspension.
+    /// Difference between the two clocks at the last reported suspension, or at the start.
     reported: Millis,
 }
 
--- a/src/link/direct_actor.rs
+++ b/src/link/direct_actor.rs
@@ -95,7 +95,8 @@
         self.restart_watches();
     }
 
-    /// Makes the watches send their calls again, as the answers of pending calls may be old.
+    /// Makes the watches send their calls again, as the answers of pending calls may be old, and
+    /// ends a hold of the routing's watch.
     fn restart_watches(&self) {
         self.shared.routing_held.set(false);
         self.shared.watch_restart.notify_waiters();
--- a/src/link/endpoint_calls.rs
+++ b/src/link/endpoint_calls.rs
@@ -53,7 +53,7 @@
 /// group is then known from the endpoint list only.
 fn read_report(shared: &Shared, id: &InstanceId, status: StatusCode, body: &[u8]) -> ProbeResult {
     (shared.adapter.parse_report)(status, body).unwrap_or_else(|why| {
-        log_unreadable("a report", id.as_str(), &why);
+        log_invalid("a report", id.as_str(), &why);
         ProbeResult::Alive {
             started_ms: None,
             seat: None,
@@ -63,7 +63,7 @@
 }
 
 /// Logs an answer that was received and is invalid.
-pub(super) fn log_unreadable(what: &str, from: &str, why: &str) {
+pub(super) fn log_invalid(what: &str, from: &str, why: &str) {
     let event = LogEvent::new(LogCode::AnswerUnread)
         .with("what", what)
         .with("from", from)
@@ -98,8 +98,8 @@
     });
 }
 
-/// Passes the endpoint's request limit in an answer, or that it names none, to the reducer. An
-/// invalid limit is logged and changes nothing.
+/// Passes the request limit in an endpoint's answer to the reducer, `None` if the answer has none.
+/// An invalid limit is logged and changes nothing.
 pub(super) fn send_rate(shared: &Shared, id: &InstanceId, run: Option<u64>, headers: &HeaderMap) {
     match (shared.adapter.parse_rate)(headers) {
         Ok(rate) => shared.send_direct(DirectEvent::RateLimit {
@@ -107,14 +107,14 @@
             run,
             rate,
         }),
-        Err(why) => log_unreadable("a limit", id.as_str(), &why),
+        Err(why) => log_invalid("a limit", id.as_str(), &why),
     }
 }
 
 /// Sends a request and reads its answer of at most `max_bytes`.
 ///
 /// # Errors
-/// Returns a [`Fault`] if no complete answer was received, or a longer one.
+/// Returns a [`Fault`] if no complete answer was received, or if it is longer than `max_bytes`.
 pub(super) async fn fetch(
     shared: &Shared,
     addr: SocketAddr,
--- a/src/link/fault.rs
+++ b/src/link/fault.rs
@@ -3,7 +3,8 @@
 pub(super) enum Fault {
     /// Nothing was sent: the connection was refused.
     Refused,
-    /// Nothing was sent: no connection could be opened in time.
+    /// Nothing was sent: no connection could be opened in time, or it failed before the request
+    /// was written.
     NotSent,
     /// The request may have been sent; no complete answer was received.
     Broken,
--- a/src/link/platform_adapter.rs
+++ b/src/link/platform_adapter.rs
@@ -39,7 +39,7 @@
     pub parse_rate: fn(&HeaderMap) -> Result<Option<RequestRate>, String>,
     /// Builds the head of a caller's answer from that of an endpoint.
     pub build_head: fn(&response::Parts) -> response::Parts,
-    /// Builds the answer to a request that the router refuses.
+    /// Builds the answer that the router itself gives to a request instead of an endpoint.
     pub build_problem: fn(Problem) -> Response<Bytes>,
     /// Builds the request for an endpoint's report.
     pub build_probe: fn(&InstanceId, &str) -> Request<Full<Bytes>>,
--- a/src/link/store.rs
+++ b/src/link/store.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use tokio::time::{sleep, timeout};
 
-use super::endpoint_calls::{fetch, log_unreadable};
+use super::endpoint_calls::{fetch, log_invalid};
 use super::page_timeout;
 use super::shared::Shared;
 use super::store_gate::Permit;
@@ -31,7 +31,7 @@
 
 /// Retries of a rate-limited call, and the longest pause before each, to which
 /// [`Shared::min_pause`] is added: 300 routers that read a list of 3,000 endpoints at once use
-/// all calls of a store that takes 2,000 a second for two seconds.
+/// up all calls of a store of 2,000 calls a second for two seconds.
 const MAX_RATE_RETRIES: u32 = 8;
 const RATE_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
@@ -77,14 +77,14 @@
         .await
         .ok_or(StoreFault)?;
     (shared.adapter.parse_call)(op, status, &body).unwrap_or_else(|why| {
-        log_unreadable("an answer", "the store", &why);
+        log_invalid("an answer", "the store", &why);
         Err(StoreFault)
     })
 }
 
 /// Sends a call, again while it is rate-limited, and reports its result to the gate, which logs
-/// a loss of the store. Returns nothing if the store doesn't answer an attempt within `max_time`
-/// or rejects the call.
+/// a loss of the store. Returns nothing if the store doesn't answer an attempt within `max_time`,
+/// rejects the call, or answers from an era that is over.
 pub(super) async fn send_call(
     shared: &Shared,
     store_use: StoreUse,
@@ -118,7 +118,7 @@
 /// over. An invalid era is logged and taken as the one known so far.
 fn update_era(shared: &Shared, headers: &HeaderMap) -> bool {
     let named = (shared.adapter.parse_era)(headers).unwrap_or_else(|why| {
-        log_unreadable("an answer", "the store", &why);
+        log_invalid("an answer", "the store", &why);
         shared.era.get()
     });
     // A store that is never restored from a backup may name no era.
@@ -189,7 +189,7 @@
             continue;
         };
         let page = (shared.adapter.parse_page)(status, &body).unwrap_or_else(|why| {
-            log_unreadable(prefix, "the store", &why);
+            log_invalid(prefix, "the store", &why);
             None
         })?;
         if all.entries.is_empty() {
--- a/src/link/store_gate.rs
+++ b/src/link/store_gate.rs
@@ -13,8 +13,8 @@
 /// interrupted watches are common.
 const LOST_FAILURES: u32 = 2;
 
-/// Cap of that bound for each router, so that up to 50 routers together make about 100 trial
-/// calls a second.
+/// What each router of the fleet adds to the cap of that bound, so that up to 50 routers together
+/// make about 100 trial calls a second.
 const CAP_PER_ROUTER: Duration = Duration::from_millis(20);
 
 /// Limits of that cap. The longest pause and a read of the store after it stay within 3 s, the
@@ -103,7 +103,8 @@
     /// Handles a call that wasn't answered or was rejected.
     fn on_failure(&self, is_trial: bool, routers: usize) {
         let failures = self.failures.get();
-        // Calls that were in flight together count as one failure.
+        // Calls that were in flight together count as one failure, and calls beside the trial
+        // call don't count.
         if failures > 0 && !is_trial {
             return;
         }
--- a/src/link/watches.rs
+++ b/src/link/watches.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::backlog::more_wait;
-use super::endpoint_calls::log_unreadable;
+use super::endpoint_calls::log_invalid;
 use super::shared::Shared;
 use super::store::{read_all, send_call, PrefixEntries};
 use super::store_use::StoreUse;
@@ -51,7 +51,7 @@
 /// has read to all other routers with its age, and each answer resets that age.
 const PLANNER_WAIT_MS: u64 = 500;
 
-/// Longest time that it may hold calls whose answer is needed at once: trial calls, for which
+/// Longest time that the store may hold calls whose answer is needed at once: trial calls, for which
 /// all other calls wait, and requested reads of the routing.
 const SHORT_WAIT_MS: u64 = 1;
 
@@ -128,7 +128,7 @@
         }
         let watched = answer.map_or(WatchResult::Fault, |(status, body)| {
             (shared.adapter.parse_watch)(status, &body).unwrap_or_else(|why| {
-                log_unreadable(prefix, "the store", &why);
+                log_invalid(prefix, "the store", &why);
                 WatchResult::Fault
             })
         });
--- a/src/logic/agent/agent_state.rs
+++ b/src/logic/agent/agent_state.rs
@@ -25,7 +25,7 @@
     /// The presence grant in force.
     pub grant: Option<Grant>,
     /// Load order of the own endpoint and its progress.
-    pub share: Option<EndpointLoad>,
+    pub load: Option<EndpointLoad>,
     /// Group that this agent leads.
     pub lead: Option<LedGroup>,
     /// Waiting requests.
@@ -65,7 +65,7 @@
             brief: Brief::default(),
             seen_epoch: 0,
             grant: None,
-            share: None,
+            load: None,
             lead: None,
             running: BTreeMap::new(),
             memory: ClaimMemory::default(),
--- a/src/logic/agent/grant.rs
+++ b/src/logic/agent/grant.rs
@@ -14,7 +14,8 @@
     pub leader: InstanceId,
     /// The leader's incarnation.
     pub incarnation: u64,
-    /// No other epoch or leader gets a grant before this time on the own clock.
+    /// Until this time on the own clock, only the same leader process can get another grant, for
+    /// this epoch or a higher one. The grant ends earlier if that process returns it.
     pub until: Millis,
 }
 
@@ -27,13 +28,13 @@
     out: &mut Vec<Effect>,
 ) {
     let message = if try_grant(state, now, from, request, out) {
-        let share = state.share.as_ref();
+        let load = state.load.as_ref();
         Message::LeaseGrant {
             holder: from.incarnation,
             epoch: request.epoch,
             round: request.round,
-            ready: share.is_some_and(|s| s.is_ready(request.epoch)),
-            failed: share.is_some_and(|s| s.has_failed(request.epoch)),
+            ready: load.is_some_and(|s| s.is_ready(request.epoch)),
+            failed: load.is_some_and(|s| s.has_failed(request.epoch)),
             leaving: state.is_leaving(),
             bundle: state.brief.number,
         }
--- a/src/logic/agent/lead.rs
+++ b/src/logic/agent/lead.rs
@@ -76,7 +76,8 @@
         self.draining
     }
 
-    /// The time up to which every member's lease is held; nothing is handed over after it.
+    /// When the first of the members' leases ends; from then on no start or load order is sent to
+    /// the endpoint.
     pub fn valid_until(&self) -> Millis {
         self.leases.values().map(|h| h.until).min().unwrap_or(0)
     }
@@ -184,11 +185,11 @@
     if !grant::try_grant(state, now, &me, request, out) {
         return;
     }
-    let share = state.share.as_ref();
+    let load = state.load.as_ref();
     let lease = MemberLease {
         until: 0,
-        ready: share.is_some_and(|s| s.is_ready(request.epoch)),
-        failed: share.is_some_and(|s| s.has_failed(request.epoch)),
+        ready: load.is_some_and(|s| s.is_ready(request.epoch)),
+        failed: load.is_some_and(|s| s.has_failed(request.epoch)),
         leaving: state.is_leaving(),
     };
     on_lease_granted(state, now, &me.id, request.epoch, request.round, lease);
--- a/src/logic/agent/leave.rs
+++ b/src/logic/agent/leave.rs
@@ -1,5 +1,5 @@
-//! Orderly leave: the group serves on while a successor forms, drains and returns its grants;
-//! then the process exits.
+//! Orderly leave: the group serves on while a successor forms, drains and returns its grants. A
+//! process that was asked to stop then exits.
 
 use super::{lead, AgentState};
 use crate::logic::{Effect, LogCode, LogEvent};
--- a/src/logic/agent/load.rs
+++ b/src/logic/agent/load.rs
@@ -44,16 +44,16 @@
     valid_until: Millis,
     out: &mut Vec<Effect>,
 ) {
-    let is_due = match &state.share {
-        Some(share) if share.epoch == request.epoch => {
-            matches!(share.state, LoadState::Failed(at) if now >= at)
+    let is_due = match &state.load {
+        Some(load) if load.epoch == request.epoch => {
+            matches!(load.state, LoadState::Failed(at) if now >= at)
         }
         _ => true,
     };
     if !is_due {
         return;
     }
-    state.share = Some(EndpointLoad {
+    state.load = Some(EndpointLoad {
         epoch: request.epoch,
         state: LoadState::Loading,
     });
@@ -79,17 +79,17 @@
     out: &mut Vec<Effect>,
 ) {
     let retry_at = now + state.params.load_retry_ms;
-    let Some(share) = &mut state.share else {
+    let Some(load) = &mut state.load else {
         return;
     };
-    if share.epoch != epoch {
+    if load.epoch != epoch {
         return;
     }
     let code = if ok {
-        share.state = LoadState::Ready;
+        load.state = LoadState::Ready;
         LogCode::Loaded
     } else {
-        share.state = LoadState::Failed(retry_at);
+        load.state = LoadState::Failed(retry_at);
         LogCode::LoadFailed
     };
     out.push(Effect::Log(LogEvent::new(code).with("epoch", epoch)));
--- a/src/logic/agent/runs.rs
+++ b/src/logic/agent/runs.rs
@@ -19,7 +19,7 @@
 pub struct RunningJob {
     /// The request.
     pub job: Job,
-    /// Epoch of the group, the fence of the order.
+    /// Epoch of the group under which it was handed over.
     pub epoch: u64,
     /// When it was handed over.
     pub started_at: Millis,
--- a/src/logic/agent/step.rs
+++ b/src/logic/agent/step.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Puts a bundle into force if it is newer; an older one is ignored.
+/// Puts a bundle in force if it is newer; an older one is ignored.
 fn on_brief(state: &mut AgentState, brief: Brief, out: &mut Vec<Effect>) {
     if brief.number <= state.brief.number {
         return;
--- a/src/logic/router/agent_view.rs
+++ b/src/logic/router/agent_view.rs
@@ -12,11 +12,13 @@
     pub up: Option<u64>,
     /// When the session closed, or when it was first dialled.
     pub down_since: Millis,
-    /// Number of the newest bundle that it has reported or was sent on the present session.
+    /// Number of the newest bundle that it has reported or was sent on the present session;
+    /// lowered when it refuses an attempt because it has an older one.
     pub bundle: u64,
     /// Its last report on the present session.
     pub report: Option<Report>,
-    /// When its reports last changed from a group that isn't open to one that is.
+    /// When it last reported an open group while its previous report on the session, if any,
+    /// had none.
     pub opened_at: Millis,
 }
 
--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -11,7 +11,8 @@
 
 /// Longest time between two updates of the set of agents to dial.
 ///
-/// A changed record, a new instance list or a closed session brings the next update forward.
+/// Brought forward by a changed record, a new instance list, a closed session, a new query about a
+/// claim, and a change of the planner lease.
 const DIAL_INTERVAL_MS: Millis = 10_000;
 
 /// Time in which changes are collected before the set of agents to dial is updated.
@@ -106,7 +107,8 @@
 
 /// Handles a session with an agent that has opened.
 ///
-/// The agent gets the brief, the records of the groups that it leads and the pending queries.
+/// The agent gets the brief, the records of the groups that it leads, the notice that its instance
+/// is leaving if it is, and the pending queries.
 pub(super) fn on_agent_up(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/attempts.rs
+++ b/src/logic/router/attempts.rs
@@ -240,7 +240,8 @@
 
 /// Handles an attempt that may have run and whose end isn't known.
 ///
-/// A request that may not be repeated ends with outcome `unknown`; another one is retried.
+/// A request that may not be repeated ends with outcome `unknown`; any other request is retried if
+/// attempts and budget allow it.
 pub(super) fn on_broken_attempt(
     state: &mut RouterState,
     now: Millis,
@@ -256,14 +257,14 @@
     request.avoid = group;
     request.stage = Stage::Delayed(now);
     if request.claim.is_some() {
-        let detail = "the answer broke off; the request may have run and is not run again";
+        let detail = "no complete answer came; the request may have run and is not run again";
         return finish::end_with_problem(state, now, id, Problem::unknown(502, detail), out);
     }
     retry_or_give_up(
         state,
         now,
         id,
-        "the answer broke off".into(),
+        "no complete answer came".into(),
         hint,
         false,
         out,
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -26,7 +26,7 @@
     /// The claim.
     pub write: ClaimWrite,
     /// Router that forwarded it; absent for a claim of this router.
-    pub guest: Option<InstanceId>,
+    pub forwarded_by: Option<InstanceId>,
 }
 
 /// A claim that was forwarded to another router to be written.
@@ -49,7 +49,7 @@
     /// Queued claims.
     pub waiting: Vec<QueuedClaim>,
     /// Claims forwarded to other routers.
-    pub away: Vec<ForwardedClaim>,
+    pub forwarded: Vec<ForwardedClaim>,
     /// When the queued claims are due to be written; earlier if a batch is full.
     pub due: Millis,
     /// Lease for new claims.
@@ -63,7 +63,7 @@
     match claim_writers::writer(state, &write.key) {
         Some(writer) => {
             let until = now + FORWARD_TIMEOUT_MS;
-            state.claims.away.push(ForwardedClaim {
+            state.claims.forwarded.push(ForwardedClaim {
                 write: write.clone(),
                 until,
             });
@@ -88,19 +88,27 @@
     }
 }
 
-/// Queues a claim; `guest` is the router that forwarded it, if any.
-fn enqueue(state: &mut RouterState, now: Millis, write: ClaimWrite, guest: Option<InstanceId>) {
+/// Queues a claim; `forwarded_by` is the router that forwarded it, if any.
+fn enqueue(
+    state: &mut RouterState,
+    now: Millis,
+    write: ClaimWrite,
+    forwarded_by: Option<InstanceId>,
+) {
     if state.claims.waiting.is_empty() {
         state.claims.due = now + state.params.claim_ms;
     }
-    state.claims.waiting.push(QueuedClaim { write, guest });
+    state.claims.waiting.push(QueuedClaim {
+        write,
+        forwarded_by,
+    });
 }
 
 /// Removes a claim from the forwarded ones; returns whether it was among them.
 pub(super) fn remove_forwarded(state: &mut RouterState, write: &ClaimWrite) -> bool {
-    let before = state.claims.away.len();
-    state.claims.away.retain(|a| &a.write != write);
-    state.claims.away.len() < before
+    let before = state.claims.forwarded.len();
+    state.claims.forwarded.retain(|a| &a.write != write);
+    state.claims.forwarded.len() < before
 }
 
 /// Renews the lease, queues overdue forwarded claims and writes a batch if it is due.
@@ -126,9 +134,9 @@
 
 /// Queues forwarded claims for which no reply has come in time.
 fn requeue_overdue(state: &mut RouterState, now: Millis) {
-    let away = std::mem::take(&mut state.claims.away);
-    let (late, rest) = away.into_iter().partition(|a| now >= a.until);
-    state.claims.away = rest;
+    let forwarded = std::mem::take(&mut state.claims.forwarded);
+    let (late, rest) = forwarded.into_iter().partition(|a| now >= a.until);
+    state.claims.forwarded = rest;
     let late: Vec<ForwardedClaim> = late;
     for claim in late {
         enqueue(state, now, claim.write, None);
@@ -152,7 +160,8 @@
     taken
 }
 
-/// The call that writes a batch: all of its claims or none; then it reads what stands.
+/// The call that writes a batch: either all of its claims, or none and then it reads the keys as
+/// they stand.
 fn batch_swap(claims: &[QueuedClaim], lease: i64) -> StoreCall {
     let writes = claims.iter().map(|c| &c.write);
     let checks = writes.clone().map(|w| RevisionCheck {
--- a/src/logic/router/claim_writers.rs
+++ b/src/logic/router/claim_writers.rs
@@ -6,7 +6,10 @@
 use crate::message::ClaimKey;
 use crate::types::InstanceId;
 
-/// Router that writes a claim; `None` if that is this router, or if it can't be reached.
+/// Router to which a claim is forwarded; `None` if this router writes it.
+///
+/// This router writes it if it is the chosen writer, if the chosen one can't be reached, or if
+/// every router writes its own claims.
 ///
 /// All routers with the same instance list choose the same writer for a key. With different lists
 /// two routers may write the same claim; its revision then decides.
--- a/src/logic/router/claims.rs
+++ b/src/logic/router/claims.rs
@@ -101,7 +101,7 @@
     let mut answers: BTreeMap<InstanceId, Vec<(ClaimWrite, ClaimVerdict)>> = BTreeMap::new();
     for claim in claims {
         let verdict = verdict_of(&claim.write, &result);
-        match claim.guest {
+        match claim.forwarded_by {
             Some(router) => answers
                 .entry(router)
                 .or_default()
@@ -281,8 +281,8 @@
         let problem = Problem::not_run(422, detail);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
-    // This request was already in flight when the claim was released: the same caller may have
-    // been answered `not_run` for it by another router, so it must not run here either.
+    // A request that has seen the claim before was in flight when the claim was released: its
+    // caller may have been answered `not_run` by another router, so it must not run here either.
     let seen_before = claim.revision != 0;
     claim.attempt = record.attempt;
     claim.incarnation = record.incarnation;
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -31,8 +31,8 @@
 
 /// Gives a request up: the outcome is `not_run` where that is proved, otherwise `unknown`.
 ///
-/// A claim that this request wrote is released before `not_run` is answered. The release fails if
-/// another request has bound the claim again in the meantime.
+/// A claim that this request wrote is released before `not_run` is answered, so that no other
+/// request can have bound it again by then: the release fails if one has.
 pub(super) fn give_up(
     state: &mut RouterState,
     now: Millis,
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -64,13 +64,13 @@
     out: &mut Vec<Effect>,
 ) {
     state.fleet.read = true;
-    let here: Vec<_> = entries.iter().map(|e| e.key.clone()).collect();
+    let read_keys: Vec<_> = entries.iter().map(|e| e.key.clone()).collect();
     let gone: Vec<_> = state
         .fleet
         .domains
         .keys()
         .map(|d| Keys::domain(d))
-        .filter(|k| !here.contains(k))
+        .filter(|k| !read_keys.contains(k))
         .collect();
     let mut changes: Vec<_> = gone
         .into_iter()
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -15,10 +15,11 @@
     pub up: bool,
     /// Whether this router dials it and keeps a session with it.
     pub dialled: bool,
-    /// When the last query was sent to which it replied without being ahead.
+    /// When the last query was sent to which it replied that it has no newer bundle and no
+    /// unsettled roll.
     pub heard_at: Option<Millis>,
     /// Whether it has replied since this process started, so that it knows this router.
-    pub met: bool,
+    pub has_replied: bool,
 }
 
 /// Updates the other routers from a new instance list.
@@ -52,7 +53,7 @@
             up: false,
             dialled: false,
             heard_at: None,
-            met: false,
+            has_replied: false,
         }
     }
 }
@@ -73,7 +74,7 @@
     let number = state.number();
     let writers = claim_writers::writers(state);
     for (id, peer) in &mut state.peers {
-        let asked = !fresh || !peer.met;
+        let asked = !fresh || !peer.has_replied;
         if !asked && writers.contains(id) {
             dial(id, peer, out);
             continue;
@@ -109,10 +110,12 @@
     }
 }
 
-/// Records a proof if every other router has replied that it has no newer bundle.
+/// Records a proof if every other router has replied that it has no newer bundle and no unsettled
+/// roll.
 ///
 /// A bundle is put in force only through a router, so at the time of the oldest of these queries no
-/// newer one was in force.
+/// newer one was in force. It is no proof while this router has an unsettled roll or doesn't know
+/// the instance list.
 fn prove_by_peers(state: &mut RouterState, now: Millis) {
     let unsettled = state.rules.settled_only && state.roll.is_some();
     if !state.list_known || unsettled {
@@ -191,7 +194,7 @@
     let Some(peer) = state.peers.get_mut(&from.id) else {
         return;
     };
-    peer.met = true;
+    peer.has_replied = true;
     if reply.number > own || unsettled {
         return;
     }
--- a/src/logic/router/planner/fleet_view.rs
+++ b/src/logic/router/planner/fleet_view.rs
@@ -49,14 +49,14 @@
 
 pub(super) fn build_input<'a>(
     state: &'a RouterState,
-    here: &BTreeMap<Arc<str>, Vec<&'a Instance>>,
+    by_domain: &BTreeMap<Arc<str>, Vec<&'a Instance>>,
     leaving: &BTreeSet<InstanceId>,
     now: Millis,
     body: &'a BundleBody,
     record: &'a DomainRecord,
     hall: &'a BTreeMap<Arc<str>, ModelCounts>,
 ) -> PlanInput<'a> {
-    let instances: Vec<&Instance> = here.get(&record.domain).cloned().unwrap_or_default();
+    let instances: Vec<&Instance> = by_domain.get(&record.domain).cloned().unwrap_or_default();
     let mut health: BTreeMap<InstanceId, InstanceHealth> = instances
         .iter()
         .map(|i| (i.id.clone(), health_of(state, leaving, now, i)))
@@ -146,7 +146,7 @@
     }
 }
 
-/// Whether a leader that doesn't lead the group must have ended it.
+/// Whether a leader that reports not to lead the group counts as having ended it.
 ///
 /// True where the group was to drain, or where a member is leaving or no longer listed.
 fn has_ended(state: &RouterState, leaving: &BTreeSet<InstanceId>, group: &GroupRecord) -> bool {
--- a/src/logic/router/planner/plan.rs
+++ b/src/logic/router/planner/plan.rs
@@ -15,8 +15,8 @@
 ///
 /// Returns `None` when nothing changes, or when the result would put an instance into two groups.
 /// The cheapest changes come first: ended groups are removed, lost members are replaced by
-/// spares or by the members of a less valuable group, new groups are formed, and a surplus or
-/// outdated group is drained.
+/// spares or by the members of a group whose dissolution has a positive gain, new groups are
+/// formed, and a surplus or outdated group is drained.
 pub fn plan(input: &PlanInput<'_>) -> Option<Plan> {
     let mut plan = Plan {
         record: input.record.clone(),
--- a/src/logic/router/planner/plan_input.rs
+++ b/src/logic/router/planner/plan_input.rs
@@ -23,7 +23,8 @@
     pub hall: &'a BTreeMap<Arc<str>, ModelCounts>,
     /// Longest time for which a silent member keeps its place, in milliseconds.
     pub patience_ms: Millis,
-    /// Whether a group may be dissolved to repair another one that is worth more.
+    /// Whether a group may be dissolved to repair another one, if the gain by the operators'
+    /// weights is positive.
     pub trade: bool,
 }
 
--- a/src/logic/router/planner/planner_state.rs
+++ b/src/logic/router/planner/planner_state.rs
@@ -16,14 +16,14 @@
     /// Since when each silent instance has been without a session with this router, or missing
     /// by its leader's report.
     pub silent_since: BTreeMap<InstanceId, Millis>,
-    /// Tokens for record writes; one write costs 1,000.
-    pub write_tokens: u64,
+    /// Thousandths of a token for record writes; a write takes 1,000, that is one token.
+    pub write_milli_tokens: u64,
     /// When tokens were last added.
     pub refilled_at: Millis,
     /// Whether the lease was held at the last tick.
     pub was_held: bool,
     /// Models whose rollout is halted, with the reason; each is logged once.
-    pub halted_rolls: BTreeMap<String, String>,
+    pub halted_rollouts: BTreeMap<String, String>,
 }
 
 impl PlannerState {
--- a/src/logic/router/planner/planning_pass.rs
+++ b/src/logic/router/planner/planning_pass.rs
@@ -15,8 +15,8 @@
 use crate::logic::{Effect, LogCode, LogEvent};
 use crate::types::{DomainRecord, InstanceId, Millis};
 
-/// Limit of the saved tokens, in thousandths of a write.
-const MAX_TOKENS_PER_MILLE: u64 = 10_000;
+/// Most thousandths of a token that are saved; a write takes one token.
+const MAX_WRITE_MILLI_TOKENS: u64 = 10_000;
 
 /// Renews the lease, and runs the planning pass where the lease is held.
 pub(in crate::logic::router) fn on_tick(
@@ -236,7 +236,7 @@
     for (domain, record, revision) in hall_domains(state) {
         let writing =
             state.calling(|p| matches!(p, CallPurpose::WriteDomain(r) if r.domain == domain));
-        if writing || state.planner.write_tokens < 1_000 {
+        if writing || state.planner.write_milli_tokens < 1_000 {
             continue;
         }
         let input = build_input(
@@ -251,7 +251,7 @@
         let Some(plan) = plan(&input) else {
             continue;
         };
-        state.planner.write_tokens -= 1_000;
+        state.planner.write_milli_tokens -= 1_000;
         write_record(state, plan, revision, out);
         // The write changes the counts of the data hall, so the next pass plans the other domains.
         return;
@@ -264,7 +264,8 @@
     if added == 0 {
         return;
     }
-    state.planner.write_tokens = (state.planner.write_tokens + added).min(MAX_TOKENS_PER_MILLE);
+    state.planner.write_milli_tokens =
+        (state.planner.write_milli_tokens + added).min(MAX_WRITE_MILLI_TOKENS);
     state.planner.refilled_at = now;
 }
 
@@ -276,16 +277,16 @@
 ) {
     for (model, count) in hall {
         let halted = count.failing > 0 && count.old > 0;
-        let known = state.planner.halted_rolls.contains_key(&**model);
+        let known = state.planner.halted_rollouts.contains_key(&**model);
         if halted && !known {
             let why = format!("{} groups of the new version fail to load", count.failing);
             let event = LogEvent::new(LogCode::RollHalted)
                 .with("model", model)
                 .with("why", &why);
             out.push(Effect::Log(event));
-            state.planner.halted_rolls.insert(model.to_string(), why);
+            state.planner.halted_rollouts.insert(model.to_string(), why);
         } else if !halted {
-            state.planner.halted_rolls.remove(&**model);
+            state.planner.halted_rollouts.remove(&**model);
         }
     }
 }
--- a/src/logic/router/planner/repair.rs
+++ b/src/logic/router/planner/repair.rs
@@ -5,7 +5,8 @@
 use crate::logic::{LogCode, LogEvent};
 use crate::types::{GroupId, GroupRecord, InstanceId, Member, Phase};
 
-/// Repairs each group in phase `Serving` that doesn't serve, the most valuable first.
+/// Repairs each group in phase `Serving` whose condition is neither `Open` nor `LeaderUnreachable`,
+/// the most valuable first.
 pub(super) fn repair_groups(input: &PlanInput<'_>, plan: &mut Plan) {
     let mut broken: Vec<_> = plan
         .record
@@ -37,7 +38,8 @@
 
 /// Members that have to be replaced now.
 ///
-/// A silent member is waited for no longer than the group takes to load its weights.
+/// A silent member is waited for until `patience_ms`, or the time that the group takes to load its
+/// weights if that is shorter.
 fn lost_members(input: &PlanInput<'_>, group: &GroupRecord) -> Vec<InstanceId> {
     let ended = input.condition_of(&group.id) == GroupCondition::Ended;
     let wait_limit = input.patience_ms.min(group.load_ms.max(1));
@@ -84,7 +86,7 @@
                 .with("group", &dissolved.id)
                 .with("given_up_for", id);
             plan.log_events.push(event);
-            replace_members(plan, id, &lost, &replacements, "dissolved group");
+            replace_members(plan, id, &lost, &replacements, "given up");
         }
         None => wait_or_remove(input, plan, &group, &lost),
     }
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -87,7 +87,7 @@
     let unmet: Vec<_> = state
         .peers
         .iter()
-        .filter(|(_, p)| p.addr.is_some() && !p.met)
+        .filter(|(_, p)| p.addr.is_some() && !p.has_replied)
         .map(|(id, _)| id.to_string())
         .collect();
     if !unmet.is_empty() {
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -4,11 +4,12 @@
 
 /// Weight of the previous mean against one new value in the moving average.
 const MEAN_WEIGHT: u64 = 7;
-/// Inverse part of a run time that a fully occupied group costs beyond its waiting time.
+/// A fully occupied group costs a run time divided by this, in addition to its waiting time.
 const OCCUPANCY_DIVISOR: u64 = 4;
 /// Run time assumed for a group before its first run has ended.
 const DEFAULT_RUN_MS: Millis = 200;
-/// Candidates in the router's data hall that are compared.
+/// Candidates in the router's data hall that are compared; as many in other halls if there are none
+/// in its own.
 const MAX_NEAR_SAMPLES: usize = 3;
 /// Candidates in other data halls that are compared with them.
 const MAX_FAR_SAMPLES: usize = 1;
--- a/src/logic/router/router_params.rs
+++ b/src/logic/router/router_params.rs
@@ -52,7 +52,8 @@
     pub prefix_ms: Millis,
     /// How a group is chosen; all but the default are baselines for comparison.
     pub policy: RoutePolicy,
-    /// Whether a group may be given up for a more valuable one; off only for comparison.
+    /// Whether a group may be dissolved to repair another one with a positive gain; off only for
+    /// comparison.
     pub trade: bool,
 }
 
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Logs when the key-value service stops or starts to answer.
+/// Records whether the key-value service answers, and logs a change.
 fn set_store_up(state: &mut RouterState, up: bool, out: &mut Vec<Effect>) {
     if state.store_up == up {
         return;
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -5,11 +5,12 @@
 /// counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// An agent grants no lease within one lease time of its start.
+    /// An agent grants no lease for the length of a lease and its margin after its start.
     pub start_wait: bool,
     /// A leader counts a lease from the time of its request, not of the grant's arrival.
     pub early_clock: bool,
-    /// A member grants no lease to another leader until its current grant has expired.
+    /// A member grants no lease to another leader process until its current grant has expired or
+    /// was returned.
     pub exclusive_grant: bool,
     /// An agent refuses work for a group or epoch that it doesn't lead.
     pub epoch_fence: bool,
--- a/tests/check/claims.rs
+++ b/tests/check/claims.rs
@@ -6,8 +6,9 @@
 //! while its endpoint goes on, and a router crashes and doesn't restart. Time stands still,
 //! as the invariants must not depend on it.
 //!
-//! Invariants: the request runs at most once, no caller is told that it didn't run if it
-//! did or does later, and agents are ordered to remember a key for at least twice the
+//! Invariants: the request runs at most once; no caller is told that it didn't run after it has
+//! run (with one writer of claims: after the caller's own copy has run), and the copy of a caller
+//! who was told so doesn't run later; agents are ordered to remember a key for at least twice the
 //! duration of its claim's lease.
 
 use std::collections::BTreeMap;
@@ -47,7 +48,7 @@
     late_writes: u8,
     restarts: u8,
     session_losses: u8,
-    router_deaths: u8,
+    router_crashes: u8,
     /// Whether one of the routers writes the claims of both.
     one_writer: bool,
     seeds: [u64; 2],
@@ -93,7 +94,7 @@
     late_writes: u8,
     restarts: u8,
     session_losses: u8,
-    router_deaths: u8,
+    router_crashes: u8,
     one_writer: bool,
     /// Duration of the lease that claims are attached to, in milliseconds.
     claim_ms: u64,
@@ -280,7 +281,7 @@
             late_writes: faults.late_writes,
             restarts: faults.restarts,
             session_losses: faults.session_losses,
-            router_deaths: faults.router_deaths,
+            router_crashes: faults.router_crashes,
             one_writer: faults.one_writer,
             claim_ms: 0,
             violation: None,
@@ -729,10 +730,10 @@
         }
         for r in ROUTERS
             .into_iter()
-            .filter(|r| self.router_deaths > 0 && !self.dead[*r])
+            .filter(|r| self.router_crashes > 0 && !self.dead[*r])
         {
             self.add_successor(format!("{} crashes", NAMES[r]), successors, |w| {
-                w.router_deaths -= 1;
+                w.router_crashes -= 1;
                 w.dead[r] = true;
                 w.renewals.retain(|(n, _)| *n != r);
             });
@@ -746,7 +747,7 @@
     late_writes: 0,
     restarts: 0,
     session_losses: 0,
-    router_deaths: 0,
+    router_crashes: 0,
     one_writer: false,
     seeds: [1, 2],
 };
@@ -797,7 +798,7 @@
         "a router's death and a lost answer",
         Faults {
             lost_answers: 1,
-            router_deaths: 1,
+            router_crashes: 1,
             ..NO_FAULTS
         },
     );
@@ -809,7 +810,7 @@
         "a late write and a router's death",
         Faults {
             late_writes: 1,
-            router_deaths: 1,
+            router_crashes: 1,
             ..NO_FAULTS
         },
     );
@@ -856,7 +857,7 @@
             "query_bars",
             Faults {
                 rules: without(|r| r.query_bars = false),
-                router_deaths: 1,
+                router_crashes: 1,
                 ..NO_FAULTS
             },
         ),
@@ -877,7 +878,7 @@
         late_writes: 2,
         restarts: 1,
         session_losses: 3,
-        router_deaths: 1,
+        router_crashes: 1,
         ..NO_FAULTS
     };
     random_walks(400, |seed| {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests under failures: routers and agents as separate processes, with stand-ins for the
-//! platform and the endpoints.
+//! End-to-end tests under failures: routers and agents as separate processes, with stand-ins for
+//! the platform and the endpoints.
 
 mod bundles;
 mod groups;
--- a/tests/logic/planning.rs
+++ b/tests/logic/planning.rs
@@ -1,4 +1,4 @@
-//! Plans for one fabric domain: new groups, replaced members, and groups that are given up
+//! Plans for one fabric domain: new groups, replaced members, and groups that are dissolved
 //! for others.
 
 use std::collections::BTreeMap;
