--- a/tests/fleet/groups.rs
+++ b/tests/fleet/groups.rs
@@ -59,8 +59,8 @@
 
 /// Whether the last event of a leader's log about accepting requests says that its group is open.
 fn is_open_at(fleet: &Fleet, leader: &str) -> bool {
-    let log = fleet.logged(leader, "group takes");
-    log.last().is_some_and(|l| l.contains("takes work"))
+    let log = fleet.logged(leader, "group accepts");
+    log.last().is_some_and(|l| l.contains("accepts work"))
 }
 
 #[test]
