--- a/src/http/caller_api.rs
+++ b/src/http/caller_api.rs
@@ -139,7 +139,7 @@
 
 fn chat_target(text: &str) -> Result<Target, Problem> {
     let value: Value = serde_json::from_str(text)
-        .map_err(|e| Problem::not_run(400, format!("the body is not valid JSON: {e}")))?;
+        .map_err(|e| Problem::not_run(400, format!("the body isn't JSON: {e}")))?;
     let Some(model) = value["model"].as_str() else {
         return Err(Problem::not_run(400, "`model`: expected a string"));
     };
