--- a/benches/policy/load.rs
+++ b/benches/policy/load.rs
@@ -14,7 +14,8 @@
 /// Time to the first piece of an answer, and between two pieces.
 pub const FIRST_PIECE_MS: u64 = 60;
 pub const PIECE_INTERVAL_MS: u64 = 40;
-/// Mean number of pieces of an answer, by class.
+/// Nominal number of pieces of an answer, by class. The number is drawn from half of it up to
+/// one and a half times it, both rounded down.
 const URGENT_PIECES: u64 = 5;
 const DRAFTING_PIECES: u64 = 60;
 /// Share of urgent requests, in tenths.
@@ -38,7 +39,7 @@
     let mut arrivals: Vec<_> = (0..count)
         .map(|_| {
             let urgent = rng.u64(0..10) < URGENT_TENTHS;
-            let mean_pieces = if urgent {
+            let nominal_pieces = if urgent {
                 URGENT_PIECES
             } else {
                 DRAFTING_PIECES
@@ -59,7 +60,7 @@
                 } else {
                     ["a", "b", "c"][rng.usize(0..3)]
                 },
-                pieces: mean_pieces / 2 + rng.u64(0..=mean_pieces),
+                pieces: nominal_pieces / 2 + rng.u64(0..=nominal_pieces),
             }
         })
         .collect();
--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -1,7 +1,7 @@
 use runrail::logic::router::RoutePolicy;
 
-/// Disturbance of a scenario: for a whole run, or from 20 s after the start of the minute
-/// of arrivals where the variant says so.
+/// Disturbance of a scenario. Unless the variant says otherwise, it lasts for the whole run;
+/// 20 s are counted from the start of the minute of arrivals.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Disturbance {
     Nothing,
@@ -9,7 +9,7 @@
     Loss,
     /// The agents of a tenth of the groups are asked to stop at 20 s.
     Drain,
-    /// The key-value store is unavailable from 20 s until the end.
+    /// The key-value service is unavailable from 20 s until the end.
     Outage,
     /// One group takes five times as long for each piece of an answer.
     Slow,
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -268,7 +268,7 @@
         }
         let effects = step(&mut self.nodes[n], self.now, event);
         for effect in effects {
-            self.carry_out(n, effect);
+            self.execute(n, effect);
         }
     }
 
@@ -295,7 +295,7 @@
         }
     }
 
-    fn carry_out(&mut self, n: usize, effect: Effect) {
+    fn execute(&mut self, n: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 let is_payload = matches!(message, Message::Run(_) | Message::Piece { .. });
@@ -511,8 +511,8 @@
                     self.dead.insert(n);
                     self.runs.retain(|(at, _), _| *at != n);
                     for r in 0..ROUTERS {
-                        // A session ends after three ping intervals without any frame, here
-                        // taken as 2 s each.
+                        // A session ends after three ping intervals without any frame. The
+                        // interval is taken as 2 s here; the default is 4 s.
                         self.schedule_at(self.now + 6_000, Action::Node(r, session_down.clone()));
                     }
                 }
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -129,7 +129,7 @@
     };
     let start = Instant::now();
     let number = loop {
-        // The router may not have read the platform's key-value store yet.
+        // The router may not have read the platform's key-value service yet.
         match send_operator_call(router, submit())? {
             OperatorReply::Submitted(number) => break number,
             other if start.elapsed() > Duration::from_secs(10) => {
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -56,11 +56,11 @@
 pub(super) const CHECK: &str = "\
 Check files without starting anything; lists all faults
 
-Usage: runrail check [--settings FILE] [--role router|agent] [--bundle FILE]
+Usage: runrail check [--settings FILE] [--role router|direct|agent] [--bundle FILE]
 
 Options:
       --settings FILE    Settings to check
-      --role ROLE        Role the settings are for; guessed from [endpoint] when absent
+      --role ROLE        Role the settings are for; guessed from [endpoint] and [direct] when absent
       --bundle FILE      Bundle to check
 
 Example: runrail check --settings settings/agent.ini --bundle bundle.json
--- a/src/endpoint/endpoint_settings.rs
+++ b/src/endpoint/endpoint_settings.rs
@@ -8,7 +8,8 @@
     pub addr: SocketAddr,
     /// Timeout of the head of the response to an order to load a model.
     pub load: Duration,
-    /// Timeout of the head of a response, except that of an order to load a model.
+    /// Timeout of the head of a response, except that of an order to load a model. The body has
+    /// none.
     pub silence: Duration,
     /// Interval between two requests for its status; a plain service isn't asked.
     pub status: Duration,
--- a/src/etcd/mod.rs
+++ b/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform: its key-value service and its instance list.
+//! Clients of the platform: its key-value service (the store, for short) and its instance list.
 //!
 //! The key-value service is reached through the HTTP/JSON gateway of the etcd v3 API.
 
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -80,7 +80,8 @@
                 handle(request);
             });
         if let Err(e) = spawned {
-            // The request was moved into the closure, which is dropped and closes its connection.
+            // The request was moved into the closure; when that is dropped, tiny_http answers with
+            // an empty 500.
             log::warn!(target: "runrail", "request dropped, its thread could not be started: {e}");
         }
     }
--- a/src/message/message_kind.rs
+++ b/src/message/message_kind.rs
@@ -30,7 +30,7 @@
     Cancel(RunId),
     /// Router to agent: request for the state of a claimed key.
     Query {
-        /// Attempt of the querying router, which pieces of the answer are sent for.
+        /// Attempt of the querying router; pieces of the answer are sent under this id.
         run: RunId,
         /// Key and attempt of the claim, and how long the agent has to remember its reply.
         once: Once,
--- a/src/message/refusal.rs
+++ b/src/message/refusal.rs
@@ -26,7 +26,7 @@
     Duplicate,
     /// the attempt was cancelled or barred before it started
     Cancelled,
-    /// the endpoint refused the request or could not be reached
+    /// the endpoint refused the request, or the request could not be sent to it in time
     Endpoint,
 }
 
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -30,7 +30,8 @@
     pub first_start: bool,
     /// Longest wait of a watch, in milliseconds.
     pub watch_ms: u64,
-    /// Pause after changes of the endpoint list before it is read again, in milliseconds.
+    /// Shortest pause after changes of the endpoint list before it is read again, in
+    /// milliseconds.
     pub list_ms: u64,
     /// Time after which an endpoint that leaves must get no new requests, in milliseconds.
     pub drain_ms: u64,
@@ -42,7 +43,7 @@
     pub missing_values: Vec<MissingValue>,
 }
 
-/// Factor of the wait of the watch of the routers' own keys, over that of the other watches.
+/// Factor between the wait of the watch of the routers' own keys and that of the other watches.
 const OWN_WAIT_FACTOR: u64 = 3;
 
 /// Lower bound of the wait of a watch: while nothing changes, each watch of a router makes at
@@ -56,11 +57,13 @@
 /// Upper bound of the wait of a watch.
 const MAX_WATCH_MS: u64 = 30_000;
 
-/// Divisor of the drain time that gives the longest pause between two reads of the endpoint
-/// list, so that it is read at least twice within that time.
+/// Divisor of the drain time. The result is the longest pause between two reads of the endpoint
+/// list, unless `list_ms` or the store's read rate requires a longer one. Without these, the list
+/// is read at least twice within the drain time.
 const LIST_PAUSE_DIVISOR: u64 = 3;
 
-/// Upper bound of the pause between two reads of the endpoint list.
+/// Upper bound of the longest pause between two reads of the endpoint list; `list_ms` and the
+/// store's read rate may require a longer one.
 const MAX_LIST_PAUSE: Duration = Duration::from_secs(2);
 
 impl Default for DirectSettings {
--- a/src/types/bundle_fault.rs
+++ b/src/types/bundle_fault.rs
@@ -6,7 +6,7 @@
 /// Length of a SHA-256 hash in hexadecimal.
 const KEY_HEX_DIGITS: usize = 64;
 
-/// One error in a bundle: where it is, what was found, what was expected.
+/// One fault of a bundle: where it is, what was found, what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BundleFault {
     /// Path of the value in the document, such as `models[0].instances`.
@@ -18,7 +18,7 @@
 }
 
 impl BundleFault {
-    /// Validates a bundle and returns all errors; a bundle without errors may be submitted.
+    /// Validates a bundle and returns all its faults; a bundle without faults may be submitted.
     pub fn find_all(body: &BundleBody) -> Vec<BundleFault> {
         let mut faults = Vec::new();
         if body.models.is_empty() {
--- a/src/types/class_spec.rs
+++ b/src/types/class_spec.rs
@@ -12,7 +12,8 @@
     pub name: Arc<str>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Slots of each group that less urgent classes may not use.
+    /// Slots of each group that are kept free for this class: less urgent classes can't use
+    /// them.
     #[serde(default)]
     pub reserved: u32,
     /// Whether a running request may be paused for one of a more urgent class.
--- a/src/types/endpoint_entry.rs
+++ b/src/types/endpoint_entry.rs
@@ -16,7 +16,7 @@
     pub hall: Arc<str>,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to be stopped or replaced.
+    /// Whether the platform lists it as draining, that is, about to be stopped.
     pub leaving: bool,
     /// Time at which the endpoint last started, in Unix milliseconds; absent where the
     /// platform doesn't report it.
--- a/src/types/engine_model.rs
+++ b/src/types/engine_model.rs
@@ -9,9 +9,10 @@
     pub name: Arc<str>,
     /// Number of instances in a group that serves the model.
     pub size: usize,
-    /// Factor on the engine's prompt and step times, per mille; higher is slower.
+    /// Factor on the engine's prompt and step times, in thousandths; higher is slower.
     pub pace: u64,
-    /// Expected initial share of the service's work, per mille.
+    /// Published initial share of the service's work, in thousandths. Until demand is known,
+    /// the planner takes it as the model's share of all instances.
     pub share: u64,
     /// Time to load the model from the weight store, in milliseconds.
     pub load_ms: Millis,
--- a/src/types/engine_spec.rs
+++ b/src/types/engine_spec.rs
@@ -9,7 +9,7 @@
     pub stride: u32,
     /// Duration of a token step, in microseconds.
     pub step_us: u64,
-    /// Time that each request which generates tokens adds to a step, in nanoseconds.
+    /// Time that each request adds to a step while its tokens are generated, in nanoseconds.
     pub per_request_ns: u64,
     /// Prompt processing rate, in tokens per second.
     pub read_rate: u64,
--- a/src/types/measure.rs
+++ b/src/types/measure.rs
@@ -4,7 +4,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Measure {
-    /// Cost per second that a group is down, for a group of value 1.
+    /// Cost per second of downtime of a group; it is multiplied by the value of the group's
+    /// model.
     pub downtime: u32,
     /// Cost per second that a healthy instance belongs to no working group.
     pub stranded: u32,
--- a/src/types/model_spec.rs
+++ b/src/types/model_spec.rs
@@ -34,7 +34,9 @@
     /// rolled out.
     #[serde(default)]
     pub floor: u32,
-    /// Value of an open group; a group of lower value may be dissolved to repair it.
+    /// Value of an open group. Where a group can't be repaired from spares, another one may be
+    /// dissolved for it if that lowers the cost by the weights of
+    /// [`Measure`](super::Measure).
     #[serde(default = "default_value")]
     pub value: u32,
     /// Expected time to load the weights, in milliseconds.
--- a/src/types/service_spec.rs
+++ b/src/types/service_spec.rs
@@ -7,7 +7,7 @@
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Maximum number of connections that one endpoint accepts from all clients together.
+    /// Maximum number of connections that one endpoint accepts in total.
     pub connections: u32,
     /// Parameters of its engines; absent for a plain service.
     pub engine: Option<EngineSpec>,
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,8 +1,8 @@
 //! Mutual authentication with the fleet's key, before any message is exchanged.
 //!
 //! The proof is an HMAC-SHA256 over the sender's side, both nonces, the sender's
-//! identity and the receiver's id. It keeps other processes out; the messages that follow are neither
-//! encrypted nor signed.
+//! identity and the receiver's id. It keeps out processes without the key; the messages
+//! that follow are neither encrypted nor signed.
 
 use displaydoc::Display;
 use hmac::{Hmac, KeyInit, Mac};
@@ -24,7 +24,7 @@
 }
 
 /// Side that made a proof; it is part of the proof, so that a proof can't be reflected
-/// to its sender.
+/// to its sender. The initiator is the side that dialled.
 #[derive(Clone, Copy)]
 enum Side {
     Initiator,
--- a/src/wire/net.rs
+++ b/src/wire/net.rs
@@ -16,8 +16,9 @@
 
 /// Maximum number of messages queued on a session; one more ends the session.
 const MAX_QUEUED: usize = 4_096;
-/// Minimum and maximum wait before a session is dialled again; it doubles with each failure
-/// and starts again from the minimum once a session was open.
+/// Wait before a session is dialled again: the first value after a session that was open,
+/// doubled with each failed attempt up to the second. Up to 50 ms are added at random. After a
+/// failed `accept`, the first value is the wait before the next one.
 const REDIAL_WAITS: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
 
 /// Settings of the sessions of a process.
@@ -25,7 +26,8 @@
 pub struct NetSettings {
     /// Address to listen on; with port 0 the system chooses a free port.
     pub listen: SocketAddr,
-    /// Interval of pings; without a frame for three times this long, a session ends.
+    /// Interval of pings; a session ends at the first ping time at which no frame came for more
+    /// than three times this long.
     pub idle: Duration,
     /// Maximum number of open sessions that were dialled by other processes.
     pub sessions: usize,
@@ -151,7 +153,7 @@
     }
 
     /// Opens a session with a peer, and opens it again whenever it ends, until
-    /// [`Net::hangup`].
+    /// [`Net::hangup`] or [`Net::finish`].
     pub fn dial(&self, to: &InstanceId, addr: SocketAddr) {
         let shared = self.shared.clone();
         let target = to.clone();
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -61,7 +61,9 @@
 /// Runs a session until it ends; returns why it ended.
 ///
 /// Every `idle` a ping is sent, unless a frame came within the last half of `idle`.
-/// The session ends when no frame came for more than three times `idle`.
+/// At each of these times the session ends if no frame came for more than three times
+/// `idle`. It also ends when a message isn't sent within three times `idle`, or a ping
+/// within `idle`.
 pub(super) async fn run(
     mut socket: Socket,
     mut outgoing: mpsc::Receiver<Message>,
