--- a/testkit/src/engine.rs
+++ b/testkit/src/engine.rs
@@ -12,7 +12,7 @@
 /// Parameters of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineKnobs {
-    /// Parallel requests that it reports as its limit; it doesn't enforce it.
+    /// Number of requests that it reports as its concurrency limit; it doesn't enforce it.
     pub slots: u32,
     /// Time that each piece of an answer takes.
     pub piece: Duration,
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -102,7 +102,7 @@
 }
 
 impl Fleet {
-    /// Starts the processes; no bundle is rolled out yet.
+    /// Starts the processes; no bundle is in force yet.
     ///
     /// # Panics
     /// When a process can't be started.
@@ -141,7 +141,7 @@
         fleet
     }
 
-    /// Starts a fleet, rolls out the test bundle and waits until its groups are open.
+    /// Starts a fleet, puts the test bundle in force and waits until its groups are open.
     ///
     /// # Panics
     /// When a step takes longer than [`LONG`].
@@ -271,7 +271,7 @@
             .expect("the binary starts")
     }
 
-    /// Submits, approves and rolls out a bundle; returns its number.
+    /// Submits and approves a bundle and puts it in force (`roll`); returns its number.
     ///
     /// # Panics
     /// When a step doesn't succeed within [`LONG`].
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -73,7 +73,7 @@
         self.lock().silent = silent;
     }
 
-    /// Sets the delay before each pass of bytes.
+    /// Delays all bytes by this time before they are passed on.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
--- a/testkit/src/soak/driver.rs
+++ b/testkit/src/soak/driver.rs
@@ -7,7 +7,7 @@
 
 use super::client::Connection;
 use super::{Fault, Limited, Outcome, Record, Sample, Span};
-use crate::direct::{config, Copy, Router, Standin, FATAL};
+use crate::direct::{config, Backup, Router, Standin, FATAL};
 use crate::Relay;
 
 /// Time limit from `SIGTERM` to the end of a router's process.
@@ -49,7 +49,7 @@
     /// Version of the newest configuration.
     pub version: Mutex<u64>,
     /// Backup for the next restore of the store.
-    pub backup: Mutex<Option<Copy>>,
+    pub backup: Mutex<Option<Backup>>,
 }
 
 /// Locks a mutex, also where a thread has panicked while it held the lock.
@@ -168,7 +168,7 @@
                 to_ms: ended,
             };
             let mut record = lock(&self.record);
-            record.stops.push((at, span));
+            record.shutdowns.push((at, span));
             record.router_faults.push((at, span));
         }
         self.restart(at);
@@ -202,7 +202,7 @@
 
     /// Takes the store down for `ms` milliseconds. With a backup, it is then restored from it, and
     /// the newest configuration is written again after half that time, as operators would.
-    fn store_down(&self, n: usize, ms: u64, backup: Option<Copy>) {
+    fn store_down(&self, n: usize, ms: u64, backup: Option<Backup>) {
         let from = self.now_ms();
         self.standin.world().store_down = true;
         std::thread::sleep(Duration::from_millis(ms));
--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/judge.rs
@@ -6,7 +6,8 @@
 /// limit.
 const PROPAGATION_MS: u64 = 3_000;
 
-/// Most runs of the fatal request that may begin later than that after its third run.
+/// Maximum number of runs of the fatal request that begin more than [`PROPAGATION_MS`] after its
+/// third run.
 const MAX_LATE_RUNS: usize = 3;
 
 /// Window over which requests at an endpoint with a rate limit are counted.
@@ -15,6 +16,8 @@
 /// Time before a shutdown in which there must be no other fault for the shutdown to be checked.
 const FAULT_FREE_MS: u64 = 3_000;
 
+/// Limits of the resource usage of each router: resident memory, open descriptors and the mean
+/// rate at which its log grows.
 const MAX_MEMORY_KB: u64 = 200 * 1_024;
 
 const MAX_DESCRIPTORS: u64 = 1_000;
@@ -102,7 +105,7 @@
 /// their router was shutting down, though there was no other fault.
 fn cut_requests(record: &Record) -> Vec<String> {
     let mut seen = Vec::new();
-    for (router, stop) in isolated_stops(record) {
+    for (router, stop) in isolated_shutdowns(record) {
         let during = |s: &&Sample| {
             let span = Span {
                 from_ms: s.at_ms,
@@ -118,7 +121,7 @@
 }
 
 /// Shutdowns during and before which there was no other fault, with the index of the router.
-pub fn isolated_stops(record: &Record) -> Vec<(usize, Span)> {
+pub fn isolated_shutdowns(record: &Record) -> Vec<(usize, Span)> {
     let is_isolated = |stop: &Span| {
         let around = Span {
             from_ms: stop.from_ms.saturating_sub(FAULT_FREE_MS),
@@ -128,8 +131,8 @@
         let mut others = others.chain(&record.endpoint_faults);
         !others.any(|fault| fault != stop && fault.overlaps(&around))
     };
-    let stops = record.stops.iter().copied();
-    stops.filter(|(_, stop)| is_isolated(stop)).collect()
+    let shutdowns = record.shutdowns.iter().copied();
+    shutdowns.filter(|(_, stop)| is_isolated(stop)).collect()
 }
 
 fn refused_harmless(record: &Record) -> Vec<String> {
@@ -169,10 +172,10 @@
     (most as f64 > allowed).then_some(seen)
 }
 
-/// Number of requests in each window that begins with a request, lies within the time of the limit
-/// and begins at least `PROPAGATION_MS` after its start. Left out are windows where a router had a
-/// fault between that start and the end of the window: a router that has just started doesn't know
-/// the limit.
+/// Counts the requests in each window of [`RATE_WINDOW_MS`] that begins with a request, at least
+/// [`PROPAGATION_MS`] after the limit was first named, and ends before the limit does. Windows are
+/// skipped if a router had a fault between the time at which the limit was first named and the end
+/// of the window: a router that has restarted doesn't know the limit.
 pub fn limit_window_counts(record: &Record, limited: &Limited) -> Vec<usize> {
     let arrivals = &limited.arrivals_ms;
     let window_starts = arrivals.iter().copied().filter(|at| {
@@ -201,7 +204,7 @@
             || f.descriptors > MAX_DESCRIPTORS
             || f.log_bytes > max_log_bytes
     };
-    let over = record.figures.iter().filter(over);
+    let over = record.usages.iter().filter(over);
     over.map(|f| format!("{f:?}")).collect()
 }
 
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,8 +1,9 @@
 //! Runs a fleet of real processes under random faults that are drawn from a seed.
 //!
 //! Faults follow each other and overlap. Callers keep their connections open until the router
-//! closes them. The outcomes of requests, the runs at endpoints and the resource usage of the
-//! processes are recorded, and [`judge`] reports what violates a check.
+//! closes them or, every other caller, until an answer has `Connection: close`. The outcomes of
+//! requests, the runs at endpoints and the resource usage of the processes are recorded, and
+//! [`judge`] reports what violates a check.
 
 mod client;
 mod driver;
@@ -18,7 +19,7 @@
 
 pub use fault::Fault;
 pub use finding::Finding;
-pub use judge::{isolated_stops, judge, limit_window_counts};
+pub use judge::{isolated_shutdowns, judge, limit_window_counts};
 pub use outcome::{Outcome, Sample};
 pub use plan::{Plan, PlannedFault, SoakSettings};
 pub use record::{Limited, ProcessFigures, Record, Span};
--- a/testkit/src/soak/plan.rs
+++ b/testkit/src/soak/plan.rs
@@ -3,7 +3,7 @@
 
 use super::Fault;
 
-/// Time before the first fault, and least time between the beginning of the last one and the end of
+/// Time before the first fault, and minimum time from the beginning of the last one to the end of
 /// the plan.
 const MARGIN_MS: u64 = 1_000;
 
--- a/testkit/src/soak/record.rs
+++ b/testkit/src/soak/record.rs
@@ -60,12 +60,12 @@
     /// Faults of endpoints.
     pub endpoint_faults: Vec<Span>,
     /// Shutdowns that ended in time, with the index of the router.
-    pub stops: Vec<(usize, Span)>,
+    pub shutdowns: Vec<(usize, Span)>,
     /// Routing versions that routers reported, in order, by index of the router and number of its
     /// restarts.
     pub versions: BTreeMap<(usize, u32), Vec<u64>>,
     /// Resource usage, by index of the router.
-    pub figures: Vec<ProcessFigures>,
+    pub usages: Vec<ProcessFigures>,
     /// Milliseconds that the recovery took after the last fault; `None` where it wasn't complete in
     /// time.
     pub recovered_ms: Option<u64>,
--- a/testkit/src/soak/report.rs
+++ b/testkit/src/soak/report.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use super::{
-    isolated_stops, limit_window_counts, plot, Finding, Outcome, Plan, Record, SoakSettings,
+    isolated_shutdowns, limit_window_counts, plot, Finding, Outcome, Plan, Record, SoakSettings,
 };
 
 /// Requests that the timeline shows before, and after, the one that a finding names.
@@ -44,7 +44,7 @@
         let _ = writeln!(out, "{outcome:?}: {}", count.count());
     }
     let _ = writeln!(out, "fatal request: {} runs", record.fatal_ms.len());
-    let _ = writeln!(out, "processes: {:?}", record.figures);
+    let _ = writeln!(out, "processes: {:?}", record.usages);
     let _ = writeln!(out, "recovered after: {:?} ms", record.recovered_ms);
     let windows = record
         .limited
@@ -55,8 +55,8 @@
         "judged: {} requests, {} runs that may not be repeated, {} of {} stops, {} spans of limits",
         record.samples.len(),
         record.once.len(),
-        isolated_stops(record).len(),
-        record.stops.len(),
+        isolated_shutdowns(record).len(),
+        record.shutdowns.len(),
         windows.sum::<usize>()
     );
     let _ = writeln!(out, "findings: {}", found.len());
--- a/testkit/src/soak/run.rs
+++ b/testkit/src/soak/run.rs
@@ -83,7 +83,7 @@
         let at = Duration::from_millis(planned.at_ms);
         std::thread::sleep(at.saturating_sub(driver.begin.elapsed()));
         if n % 4 == 0 {
-            let backup = driver.standin.world().copy();
+            let backup = driver.standin.world().backup();
             *lock(&driver.backup) = Some(backup);
         }
         let samples = lock(&driver.record).samples.len();
@@ -144,7 +144,7 @@
         }
         std::thread::sleep(SAMPLE_INTERVAL);
     }
-    lock(&driver.record).figures = usages;
+    lock(&driver.record).usages = usages;
 }
 
 /// Raises the maxima to the present memory and descriptors of a process; one that has ended uses
@@ -180,9 +180,9 @@
 fn complete_record(driver: &Driver, settings: &SoakSettings, recovered_ms: Option<u64>) -> Record {
     let mut record = std::mem::take(&mut *lock(&driver.record));
     record.recovered_ms = recovered_ms;
-    for (n, figures) in record.figures.iter_mut().enumerate() {
+    for (n, usage) in record.usages.iter_mut().enumerate() {
         let log = settings.dir.join(format!("r{}.log", n + 1));
-        figures.log_bytes = std::fs::metadata(log).map_or(0, |m| m.len());
+        usage.log_bytes = std::fs::metadata(log).map_or(0, |m| m.len());
     }
     let world = driver.standin.world();
     record.ran = world.ran.clone().into_iter().collect();
--- a/testkit/standin/mod.rs
+++ b/testkit/standin/mod.rs
@@ -21,4 +21,4 @@
 pub use replica_calls::{EVENTS, FATAL};
 pub use router::{routing_version_at, Router};
 pub use standin::Standin;
-pub use world::{Copy, World};
+pub use world::{Backup, World};
--- a/testkit/standin/replica.rs
+++ b/testkit/standin/replica.rs
@@ -17,6 +17,7 @@
 /// Time between two heartbeats of a replica, in milliseconds.
 const HEARTBEAT_MS: u64 = 400;
 
+/// A single stand-in endpoint, which this module calls a replica.
 pub(super) struct Replica {
     pub(super) addr: SocketAddr,
     pub(super) service: &'static str,
--- a/testkit/standin/router.rs
+++ b/testkit/standin/router.rs
@@ -68,7 +68,7 @@
     }
 
     /// Text of its metrics page; empty when it doesn't answer.
-    pub fn figures(&self) -> String {
+    pub fn metrics(&self) -> String {
         metrics_at(self.ready)
     }
 
--- a/testkit/standin/standin.rs
+++ b/testkit/standin/standin.rs
@@ -125,7 +125,7 @@
         self.world().kill(id);
     }
 
-    /// Members of each open group of which all members run, the head first.
+    /// Members of each open group whose members all run and have joined it, the head first.
     pub fn open_groups(&self) -> Vec<Vec<String>> {
         let world = self.world();
         let heads = world.replicas.values().filter_map(|r| {
--- a/testkit/standin/store_calls.rs
+++ b/testkit/standin/store_calls.rs
@@ -102,8 +102,8 @@
     write_if_current(&mut world, &body)
 }
 
-/// Carries out the writes of a transaction; 412 and no write where an expected revision doesn't
-/// match.
+/// Executes the writes of a transaction; 412 and no write where an expected revision doesn't
+/// match. An unknown lease gives 404; writes listed before it have taken effect.
 pub(super) fn write_if_current(world: &mut World, body: &Value) -> Response<Body> {
     let checks = body["ExpectedRev"].as_array().cloned().unwrap_or_default();
     let is_current = |c: &Value| {
--- a/testkit/standin/world.rs
+++ b/testkit/standin/world.rs
@@ -33,7 +33,7 @@
 }
 
 /// A backup of the store, for [`World::restore`].
-pub struct Copy {
+pub struct Backup {
     pub(super) revision: i64,
     /// By key: value, revision and lease (0 for none).
     pub(super) items: BTreeMap<String, (String, i64, i64)>,
@@ -49,8 +49,8 @@
     }
 
     /// Makes a backup of the store.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    pub fn backup(&self) -> Backup {
+        Backup {
             revision: self.revision,
             items: self.items.clone(),
             history: self.history.clone(),
@@ -60,12 +60,12 @@
 
     /// Restores the store from a backup: later writes are lost, their revisions are given out
     /// again, and the era goes up by one.
-    pub fn restore(&mut self, copy: Copy) {
+    pub fn restore(&mut self, backup: Backup) {
         self.era += 1;
-        self.revision = copy.revision;
-        self.items = copy.items;
-        self.history = copy.history;
-        self.leases = copy.leases;
+        self.revision = backup.revision;
+        self.items = backup.items;
+        self.history = backup.history;
+        self.leases = backup.leases;
     }
 
     /// Makes a replica stop updating its entry of the endpoint list; it goes on serving.
@@ -107,7 +107,7 @@
     }
 
     /// Kills a replica: its open connections are dropped, and its entry is removed when the list is
-    /// next updated.
+    /// next updated, unless it is silent.
     pub(super) fn kill(&mut self, id: &str) {
         let runtime = self.replicas.get_mut(id).and_then(|r| {
             r.alive = false;
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Updates the entries of all replicas in the endpoint list; one that has ended is removed.
+    /// Updates the entries of all replicas that aren't silent in the endpoint list, and removes
+    /// those of replicas that have ended.
     pub(super) fn update_list(&mut self) {
         let entries: Vec<_> = self
             .replicas
--- a/tests/contract/endpoint.rs
+++ b/tests/contract/endpoint.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_cancelled_run_ends_as_cancelled_and_one_on_a_dead_replica_as_broken() {
+fn a_cancelled_run_ends_as_cancelled_and_one_on_a_group_that_lost_a_member_as_broken() {
     let (fabric, engine) = engine(EngineKnobs {
         piece: Duration::from_millis(50),
         pieces: 200,
--- a/tests/contract/frames.rs
+++ b/tests/contract/frames.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn fields_of_a_later_version_are_passed_over() {
+fn fields_of_a_later_version_are_ignored() {
     #[derive(Serialize)]
     struct Later {
         number: u64,
--- a/tests/direct/foreign.rs
+++ b/tests/direct/foreign.rs
@@ -17,7 +17,7 @@
     let (standin, routers) = fleet(4, dir.path());
     let listed = |n: usize| {
         let metric = format!("runrail_endpoints {n}");
-        routers.iter().all(|r| r.figures().contains(&metric))
+        routers.iter().all(|r| r.metrics().contains(&metric))
     };
     until("all are listed", Duration::from_secs(5), || listed(6));
     standin.world().silence("p1");
--- a/tests/direct/restored.rs
+++ b/tests/direct/restored.rs
@@ -22,7 +22,7 @@
 fn a_configuration_written_after_a_restore_is_applied_though_revisions_have_passed_the_old_ones() {
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(4, dir.path());
-    let copy = standin.world().copy();
+    let copy = standin.world().backup();
     standin.world().write_unrelated(LOST);
     // Watches end, and would go on from the last revision that they saw.
     standin.world().store_down = true;
@@ -55,7 +55,7 @@
 fn groups_are_repaired_after_the_store_was_restored() {
     let dir = tempfile::tempdir().expect("a folder");
     let (standin, routers) = fleet(5, dir.path());
-    let copy = standin.world().copy();
+    let copy = standin.world().backup();
     standin.world().write_unrelated(LOST);
     // The planner lease is taken anew, at a revision above those of the copy.
     let mut routers = routers;
--- a/tests/direct/soak_checks.rs
+++ b/tests/direct/soak_checks.rs
@@ -22,7 +22,7 @@
         once: BTreeMap::from([("once1".to_string(), 1)]),
         fatal_ms: vec![1_000, 1_100, 1_200, 2_000],
         versions: BTreeMap::from([((0, 0), vec![1, 2, 2]), ((0, 1), vec![1])]),
-        figures: vec![ProcessFigures::default()],
+        usages: vec![ProcessFigures::default()],
         recovered_ms: Some(100),
         seconds: 10,
         ..Record::default()
@@ -84,7 +84,7 @@
             "a stop cuts nothing",
             Box::new(|r| {
                 r.samples[0].outcome = Outcome::Closed;
-                r.stops.push((0, span(120, 400)));
+                r.shutdowns.push((0, span(120, 400)));
             }),
         ),
         (
@@ -104,15 +104,15 @@
         ),
         (
             "memory, descriptors and logs are bounded",
-            Box::new(|r| r.figures[0].memory_kb = 300_000),
+            Box::new(|r| r.usages[0].memory_kb = 300_000),
         ),
         (
             "memory, descriptors and logs are bounded",
-            Box::new(|r| r.figures[0].descriptors = 2_000),
+            Box::new(|r| r.usages[0].descriptors = 2_000),
         ),
         (
             "memory, descriptors and logs are bounded",
-            Box::new(|r| r.figures[0].log_bytes = 11_000_000),
+            Box::new(|r| r.usages[0].log_bytes = 11_000_000),
         ),
         ("the fleet recovers", Box::new(|r| r.recovered_ms = None)),
     ];
@@ -128,7 +128,7 @@
     let stop = span(120, 400);
     let cut = failed_checks(|r| {
         r.samples[0].outcome = Outcome::Closed;
-        r.stops.push((0, stop));
+        r.shutdowns.push((0, stop));
         r.router_faults.push((0, stop));
         r.endpoint_faults.push(span(100, 110));
     });
