--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/judge.rs
@@ -172,8 +172,8 @@
     (most as f64 > allowed).then_some(seen)
 }
 
-/// Counts the requests in each window of [`RATE_WINDOW_MS`] that begins with a request, at least
-/// [`PROPAGATION_MS`] after the limit was first named, and ends before the limit does. Windows are
+/// Counts the requests in each window of `RATE_WINDOW_MS` that begins with a request, at least
+/// `PROPAGATION_MS` after the limit was first named, and ends before the limit does. Windows are
 /// skipped if a router had a fault between the time at which the limit was first named and the end
 /// of the window: a router that has restarted doesn't know the limit.
 pub fn limit_window_counts(record: &Record, limited: &Limited) -> Vec<usize> {
