--- a/src/message/claim_verdict.rs
+++ b/src/message/claim_verdict.rs
@@ -7,8 +7,8 @@
 pub enum ClaimVerdict {
     /// The claim was written at this revision.
     Taken(i64),
-    /// The claim was not written, because the stored claim, or another one that was to be
-    /// written in the same transaction, has another revision than expected.
+    /// The claim was not written, because its stored revision, or that of another claim of the
+    /// same transaction, isn't the expected one.
     Stands {
         /// Revision of the stored claim; 0 if there is none.
         revision: i64,
