--- a/benches/capacity/leader.rs
+++ b/benches/capacity/leader.rs
@@ -64,7 +64,7 @@
                 ..AgentParams::default()
             },
         );
-        state.ready_at = 0;
+        state.grants_from = 0;
         state.brief = Brief::of(1, &bundle(1, 1, 1).body);
         let peer = |id: &InstanceId| Peer {
             id: id.clone(),
--- a/benches/capacity/router.rs
+++ b/benches/capacity/router.rs
@@ -91,7 +91,7 @@
         if let Node::Router(state) = &mut self.node {
             state.planner.lease = Some(1);
             state.planner.held_until = u64::MAX;
-            state.planner.lease_at = u64::MAX;
+            state.planner.lease_due = u64::MAX;
             state.planner.was_held = true;
         }
     }
@@ -210,7 +210,7 @@
             path: Arc::from("/v1/chat/completions"),
             body: Arc::from("x".repeat(600)),
             deadline_ms: None,
-            once_key: None,
+            idempotency_key: None,
         })));
         let sent = effects.into_iter().find_map(|e| match e {
             Effect::Send {
@@ -267,7 +267,7 @@
     fn time_passes(&mut self) -> f64 {
         mean_us(20, || {
             if let Node::Router(state) = &mut self.node {
-                state.planner.plan_at = 0;
+                state.planner.next_pass = 0;
             }
             black_box(self.handle(Event::Tick));
         })
--- a/benches/policy/repair.rs
+++ b/benches/policy/repair.rs
@@ -34,10 +34,10 @@
     println!("| weights (downtime : stranded) | repair | weighted downtime | stranded instance-seconds | weighted cost |");
     println!("|---|---|---|---|---|");
     for (downtime, stranded) in [(100, 1), (1, 10)] {
-        for (name, trade) in [("runrail", true), ("spares only", false)] {
+        for (name, allow_trade) in [("runrail", true), ("spares only", false)] {
             let measure = Measure { downtime, stranded };
             let costs: Vec<_> = (1..=5)
-                .map(|seed| simulate_day(measure, trade, seed))
+                .map(|seed| simulate_day(measure, allow_trade, seed))
                 .collect();
             let mean_downtime = costs.iter().map(|c| c.downtime).sum::<u64>() / 5;
             let mean_stranded = costs.iter().map(|c| c.stranded).sum::<u64>() / 5;
@@ -84,7 +84,7 @@
     }
 }
 
-fn simulate_day(measure: Measure, trade: bool, seed: u64) -> Cost {
+fn simulate_day(measure: Measure, allow_trade: bool, seed: u64) -> Cost {
     let mut rng = fastrand::Rng::with_seed(seed);
     let body = body(measure);
     let instances: Vec<_> = (0..INSTANCES).map(instance).collect();
@@ -148,9 +148,9 @@
             health,
             conditions,
             failing: Vec::new(),
-            hall: &hall,
+            model_counts: &hall,
             patience_ms: 30_000,
-            trade,
+            allow_trade,
         });
         if let Some(new_plan) = new_plan {
             record = new_plan.record;
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -184,7 +184,7 @@
                 ..AgentParams::default()
             };
             let mut state = AgentState::new(InstanceId::new(&agent_name(i)), 1, 0, params);
-            state.ready_at = 0;
+            state.grants_from = 0;
             nodes.push(Node::Agent(Box::new(state)));
         }
         let mut simulation = Self {
@@ -455,7 +455,7 @@
             path: Arc::from("/"),
             body: Arc::from(arrival.pieces.to_string()),
             deadline_ms: None,
-            once_key: None,
+            idempotency_key: None,
         };
         self.open_requests.insert(id, (i, 0));
         self.handle(router, Event::Request(Box::new(caller_request)));
--- a/src/http/caller_api.rs
+++ b/src/http/caller_api.rs
@@ -88,7 +88,7 @@
         };
         let class = body::header(request, "Runrail-Class").map(Arc::from);
         let deadline_ms = parse_deadline(request)?;
-        let once_key = idempotency_key(request)?;
+        let idempotency_key = idempotency_key(request)?;
         let text = body::read(request, self.body_limit)?;
         let target = match service {
             Some(rest) => service_target(&rest)?,
@@ -105,7 +105,7 @@
                 path: Arc::from(target.path),
                 body: Arc::from(text),
                 deadline_ms,
-                once_key,
+                idempotency_key,
             },
         })
     }
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -89,7 +89,7 @@
 
 fn refuse(request: Request, limit: usize) {
     let detail = format!("this router has reached its limit of {limit} open requests");
-    let problem = Problem::not_run(503, detail).retry_in(1_000);
+    let problem = Problem::not_run(503, detail).with_retry(1_000);
     // If the caller has disconnected, nobody needs the response.
     let _ = request.respond(problem_json::response(&problem, None));
 }
--- a/src/logic/agent/admission.rs
+++ b/src/logic/agent/admission.rs
@@ -90,7 +90,7 @@
     if lead.is_draining() {
         return Some(Refusal::Draining);
     }
-    (!state.open(now)).then_some(Refusal::Closed)
+    (!state.is_open(now)).then_some(Refusal::Closed)
 }
 
 /// Refuses a request when the queue is full, or when it would have to wait and isn't expected to
--- a/src/logic/agent/agent_state.rs
+++ b/src/logic/agent/agent_state.rs
@@ -17,7 +17,7 @@
     /// Random number of this process.
     pub incarnation: u64,
     /// Grants nothing before this time.
-    pub ready_at: Millis,
+    pub grants_from: Millis,
     /// Agents' part of the newest bundle received.
     pub brief: Brief,
     /// Highest epoch seen in a lease request or an assigned record.
@@ -57,7 +57,7 @@
         let wait = params.lease_ms + params.margin_ms;
         Self {
             rules: Rules::default(),
-            ready_at: now + wait,
+            grants_from: now + wait,
             queue: JobQueue::default(),
             params,
             own_id,
@@ -93,7 +93,7 @@
     }
 
     /// Whether new requests may be handed to the endpoint at `now`.
-    pub fn open(&self, now: Millis) -> bool {
+    pub fn is_open(&self, now: Millis) -> bool {
         let Some(lead) = &self.lead else {
             return false;
         };
--- a/src/logic/agent/grant.rs
+++ b/src/logic/agent/grant.rs
@@ -86,7 +86,7 @@
 }
 
 fn is_allowed(state: &AgentState, now: Millis, from: &Peer, request: &LeaseAsk) -> bool {
-    if state.rules.start_wait && now < state.ready_at {
+    if state.rules.start_wait && now < state.grants_from {
         return false;
     }
     if request.lease_ms > state.params.lease_ms {
--- a/src/logic/agent/lead.rs
+++ b/src/logic/agent/lead.rs
@@ -337,7 +337,7 @@
     }
     request_leases(state, now, out);
     leave::drain_if_due(state, now, out);
-    let open = state.open(now);
+    let open = state.is_open(now);
     let idle = state.job_count() == 0;
     let Some(lead) = &mut state.lead else {
         return;
--- a/src/logic/agent/report.rs
+++ b/src/logic/agent/report.rs
@@ -85,7 +85,7 @@
     Some(LeadReport {
         group: lead.record.id.clone(),
         epoch: lead.record.epoch,
-        open: state.open(now),
+        open: state.is_open(now),
         phase: if lead.is_draining() {
             Phase::Draining
         } else {
--- a/src/logic/agent/runs.rs
+++ b/src/logic/agent/runs.rs
@@ -11,7 +11,7 @@
     /// A more urgent request needs its slot; it goes back to the queue.
     Paused,
     /// No router waits for it any more.
-    Unwanted,
+    NoWatchers,
 }
 
 /// A request handed to the endpoint.
@@ -210,8 +210,8 @@
     for (run, running) in &mut state.running {
         running.job.watchers.retain(|(r, run)| !is_gone(r, run));
         let is_unwatched = running.job.watchers.is_empty() && running.job.order.once.is_none();
-        if is_unwatched && running.stop_reason != Some(StopReason::Unwanted) {
-            running.stop_reason = Some(StopReason::Unwanted);
+        if is_unwatched && running.stop_reason != Some(StopReason::NoWatchers) {
+            running.stop_reason = Some(StopReason::NoWatchers);
             let epoch = running.epoch;
             out.push(Effect::Endpoint(EndpointCall::Cancel { run: *run, epoch }));
         }
--- a/src/logic/agent/scheduler.rs
+++ b/src/logic/agent/scheduler.rs
@@ -6,7 +6,7 @@
 
 /// Starts waiting requests while slots are free for them, then pauses a run for the next one.
 pub(super) fn start_waiting(state: &mut AgentState, now: Millis, out: &mut Vec<Effect>) {
-    if !state.open(now) {
+    if !state.is_open(now) {
         return;
     }
     while let Some(index) = state.queue.next_index(state.params.by_class) {
--- a/src/logic/router/admission.rs
+++ b/src/logic/router/admission.rs
@@ -18,9 +18,12 @@
     let id = call.id;
     match admit(state, now, call) {
         Ok(request) => {
-            *state.accounts.entry(request.account.clone()).or_insert(0) += 1;
+            *state
+                .account_counts
+                .entry(request.account.clone())
+                .or_insert(0) += 1;
             state.requests.insert(id, request);
-            state.budget.earn();
+            state.budget.add_request();
             attempts::dispatch(state, now, id, out);
         }
         Err(mut problem) => {
@@ -41,15 +44,15 @@
     let hint = state.params.hint_ms;
     if state.stopping {
         return Err(
-            Problem::not_run(503, "this router is shutting down; try again").retry_in(hint),
+            Problem::not_run(503, "this router is shutting down; try again").with_retry(hint),
         );
     }
     let Some(bundle) = state.bundle() else {
-        return Err(Problem::not_run(503, "no bundle is in force yet").retry_in(hint));
+        return Err(Problem::not_run(503, "no bundle is in force yet").with_retry(hint));
     };
     if !head::is_proven(state, now) {
         let detail = "this router can't prove that its bundle is the newest";
-        return Err(Problem::not_run(503, detail).retry_in(hint));
+        return Err(Problem::not_run(503, detail).with_retry(hint));
     }
     let body = &bundle.body;
     let account = find_account(body, &call)?;
@@ -71,15 +74,15 @@
         kind: call.kind,
         path: call.path,
         body: call.body,
-        since: now,
+        arrived_at: now,
         deadline: now + left,
         claim,
         stage: Stage::Delayed(now),
         attempt: 0,
         maybe_ran: false,
-        pieces: 0,
-        text: String::new(),
-        avoid: None,
+        delivered: 0,
+        delivered_text: String::new(),
+        avoid_group: None,
     })
 }
 
@@ -134,15 +137,19 @@
 
 fn check_limits(state: &RouterState, account: &AccountSpec) -> Result<(), Problem> {
     let hint = state.params.hint_ms;
-    let used = state.accounts.get(&account.name).copied().unwrap_or(0);
+    let used = state
+        .account_counts
+        .get(&account.name)
+        .copied()
+        .unwrap_or(0);
     if used >= account.limit {
         let detail =
             format!("the client account has {used} requests in flight, which is its limit");
-        return Err(Problem::not_run(429, detail).retry_in(hint));
+        return Err(Problem::not_run(429, detail).with_retry(hint));
     }
     if state.requests.len() >= state.params.request_limit as usize {
         let detail = "this router has reached its limit of requests in flight";
-        return Err(Problem::not_run(503, detail).retry_in(hint));
+        return Err(Problem::not_run(503, detail).with_retry(hint));
     }
     Ok(())
 }
@@ -155,7 +162,7 @@
     class: &ClassSpec,
     call: &CallerRequest,
 ) -> Result<Option<ClaimState>, Problem> {
-    let Some(key) = &call.once_key else {
+    let Some(key) = &call.idempotency_key else {
         if class.repeat {
             return Ok(None);
         }
--- a/src/logic/router/agents.rs
+++ b/src/logic/router/agents.rs
@@ -175,7 +175,7 @@
         view.opened_at = now;
     }
     view.report = Some(report);
-    let behind = view.bundle < state.number();
+    let behind = view.bundle < state.bundle_number();
     if behind {
         send_brief(state, from, out);
     }
@@ -217,7 +217,7 @@
     epoch: u64,
     out: &mut Vec<Effect>,
 ) {
-    match state.fleet.group(group) {
+    match state.fleet.find_group(group) {
         Some(record) if record.epoch > epoch && &record.leader().instance == leader => {
             out.push(assign_record(record.clone()));
         }
--- a/src/logic/router/attempts.rs
+++ b/src/logic/router/attempts.rs
@@ -36,10 +36,10 @@
     out: &mut Vec<Effect>,
 ) {
     agents::send_brief(state, agent, out);
-    let bundle = state.number();
+    let bundle = state.bundle_number();
     let keep_ms = claim_batch::retention_ms(state);
     let incarnation = state.agents.get(agent).and_then(|a| a.up);
-    let epoch = state.fleet.group(group).map(|g| g.epoch);
+    let epoch = state.fleet.find_group(group).map(|g| g.epoch);
     let (Some(incarnation), Some(epoch)) = (incarnation, epoch) else {
         return park(state, now, id, out);
     };
@@ -52,7 +52,7 @@
         group: Some(group.clone()),
     };
     let order = RunOrder {
-        run: request.run(),
+        run: request.run_id(),
         group: group.clone(),
         epoch,
         incarnation,
@@ -60,7 +60,7 @@
         class: request.class.clone(),
         account: request.account.clone(),
         share: request.share,
-        left_ms: request.left(now),
+        left_ms: request.remaining_ms(now),
         once: request.claim.as_ref().map(|o| Once {
             key: o.key,
             attempt: o.attempt.max(1),
@@ -68,8 +68,8 @@
         }),
         path: request.path.clone(),
         body: request.body.clone(),
-        offset: request.pieces,
-        prefix: request.text.clone(),
+        offset: request.delivered,
+        prefix: request.delivered_text.clone(),
     };
     let event = LogEvent::new(LogCode::RequestRouted)
         .with("request", id)
@@ -78,7 +78,7 @@
         .with("agent", agent);
     out.push(Effect::Log(event));
     let load = state.loads.entry(group.clone()).or_default();
-    load.own += 1;
+    load.in_flight += 1;
     load.since_report += 1;
     out.push(Effect::Send {
         to: agent.clone(),
@@ -94,7 +94,7 @@
         return;
     };
     if at >= request.deadline {
-        let problem = Problem::not_run(504, "no time is left for another attempt").retry_in(hint);
+        let problem = Problem::not_run(504, "no time is left for another attempt").with_retry(hint);
         return finish::give_up(state, now, id, problem, out);
     }
     request.stage = Stage::Delayed(at);
@@ -114,11 +114,11 @@
     let Some(request) = state.requests.get_mut(&run.request) else {
         return;
     };
-    let current = request.run() == run && matches!(request.stage, Stage::Sent { .. });
-    if !current || offset < request.pieces {
+    let current = request.run_id() == run && matches!(request.stage, Stage::Sent { .. });
+    if !current || offset < request.delivered {
         return;
     }
-    if offset > request.pieces {
+    if offset > request.delivered {
         return on_broken_attempt(state, now, run.request, out);
     }
     deliver(request, now, 1, text, out);
@@ -132,16 +132,16 @@
     text: String,
     out: &mut Vec<Effect>,
 ) {
-    if request.pieces == 0 {
+    if request.delivered == 0 {
         out.push(Effect::RecordMetric {
             metric: Metric::FirstPiece,
             account: request.account.clone(),
             class: request.class.clone(),
-            value: now.saturating_sub(request.since),
+            value: now.saturating_sub(request.arrived_at),
         });
     }
-    request.pieces += pieces;
-    request.text.push_str(&text);
+    request.delivered += pieces;
+    request.delivered_text.push_str(&text);
     out.push(Effect::Answer {
         request: request.id,
         part: AnswerPart::Piece(text),
@@ -160,12 +160,12 @@
     let Some(request) = state.requests.get(&run.request) else {
         return;
     };
-    if request.run() != run || !matches!(request.stage, Stage::Sent { .. }) {
+    if request.run_id() != run || !matches!(request.stage, Stage::Sent { .. }) {
         return;
     }
     let id = run.request;
     match end {
-        AttemptEnd::Complete { status, pieces } if pieces == request.pieces => {
+        AttemptEnd::Complete { status, pieces } if pieces == request.delivered => {
             record_run_time(state, now, id);
             finish::complete(state, now, id, status, out);
         }
@@ -179,7 +179,7 @@
     let Some(request) = state.requests.get(&id) else {
         return;
     };
-    let took = now.saturating_sub(request.since);
+    let took = now.saturating_sub(request.arrived_at);
     if let Some(load) = request.group().and_then(|g| state.loads.get_mut(g)) {
         load.ended(took);
     }
@@ -189,7 +189,7 @@
 fn remove_from_load(state: &mut RouterState, id: RequestId) -> Option<GroupId> {
     let group = state.requests.get(&id)?.group().cloned()?;
     if let Some(load) = state.loads.get_mut(&group) {
-        load.own = load.own.saturating_sub(1);
+        load.in_flight = load.in_flight.saturating_sub(1);
     }
     Some(group)
 }
@@ -204,12 +204,12 @@
     out: &mut Vec<Effect>,
 ) {
     let group = remove_from_load(state, id);
-    let number = state.number();
+    let number = state.bundle_number();
     let hint = state.params.hint_ms;
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    request.avoid = group;
+    request.avoid_group = group;
     request.stage = Stage::Delayed(now);
     let tries_left = request.attempt < state.params.claim_tries;
     if request.claim.is_some() && refusal == Refusal::Cancelled && tries_left {
@@ -226,12 +226,12 @@
         }
     }
     if matches!(refusal, Refusal::Ahead(n) if n > number) {
-        state.head.prove_at = now;
+        state.head.read_at = now;
     }
     let retry_ms = refusal.retry_ms().unwrap_or(0).max(hint);
     let detail = format!("refused: {refusal}");
     if !refusal.elsewhere() {
-        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
+        let problem = Problem::not_run(503, detail).with_retry(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
     let delayed = matches!(refusal, Refusal::Ahead(_) | Refusal::Behind(_));
@@ -254,7 +254,7 @@
         return;
     };
     request.maybe_ran = true;
-    request.avoid = group;
+    request.avoid_group = group;
     request.stage = Stage::Delayed(now);
     if request.claim.is_some() {
         let detail = "no complete answer came; the request may have run and is not run again";
@@ -286,8 +286,8 @@
 ) {
     let limit = state.params.attempts;
     let attempt = state.requests.get(&id).map_or(0, |r| r.attempt);
-    if attempt >= limit || !state.budget.spend() {
-        let problem = Problem::not_run(503, detail).retry_in(retry_ms);
+    if attempt >= limit || !state.budget.try_spend() {
+        let problem = Problem::not_run(503, detail).with_retry(retry_ms);
         return finish::give_up(state, now, id, problem, out);
     }
     let Some(request) = state.requests.get(&id) else {
@@ -369,13 +369,13 @@
     };
     let problem = match &request.stage {
         Stage::Delayed(_) => {
-            let problem = Problem::not_run(504, "the deadline has passed").retry_in(hint);
+            let problem = Problem::not_run(504, "the deadline has passed").with_retry(hint);
             return finish::give_up(state, now, id, problem, out);
         }
         Stage::Sent { agent, .. } => {
             out.push(Effect::Send {
                 to: agent.clone(),
-                message: Message::Cancel(request.run()),
+                message: Message::Cancel(request.run_id()),
             });
             Problem::unknown(
                 504,
@@ -384,7 +384,7 @@
         }
         Stage::Claiming { .. } | Stage::Releasing(_) => {
             let detail = "the claim on its key could not be settled; try again with the same key";
-            Problem::unknown(504, detail).retry_in(hint)
+            Problem::unknown(504, detail).with_retry(hint)
         }
         Stage::Querying { .. } => Problem::unknown(
             504,
@@ -402,7 +402,7 @@
     if let Stage::Sent { agent, .. } = &request.stage {
         out.push(Effect::Send {
             to: agent.clone(),
-            message: Message::Cancel(request.run()),
+            message: Message::Cancel(request.run_id()),
         });
     }
     finish::remove_request(state, id, |_, _, _| {});
--- a/src/logic/router/budget.rs
+++ b/src/logic/router/budget.rs
@@ -11,20 +11,20 @@
 
 impl RetryBudget {
     /// What a request adds: one retry for each ten requests.
-    const EARNED_MILLI_TOKENS: u64 = 100;
+    const REQUEST_MILLI_TOKENS: u64 = 100;
     /// What a retry takes.
     const RETRY_MILLI_TOKENS: u64 = 1_000;
     /// Size of the bucket: fifty retries.
     const MAX_MILLI_TOKENS: u64 = 50_000;
 
     /// Adds the tokens of one request.
-    pub fn earn(&mut self) {
+    pub fn add_request(&mut self) {
         self.milli_tokens =
-            (self.milli_tokens + Self::EARNED_MILLI_TOKENS).min(Self::MAX_MILLI_TOKENS);
+            (self.milli_tokens + Self::REQUEST_MILLI_TOKENS).min(Self::MAX_MILLI_TOKENS);
     }
 
     /// Takes the token of one retry; returns false if less than one is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let enough = self.milli_tokens >= Self::RETRY_MILLI_TOKENS;
         if enough {
             self.milli_tokens -= Self::RETRY_MILLI_TOKENS;
--- a/src/logic/router/caller_request.rs
+++ b/src/logic/router/caller_request.rs
@@ -22,5 +22,5 @@
     /// Time until the deadline; the class's default when absent.
     pub deadline_ms: Option<Millis>,
     /// The caller's idempotency key; the request then runs at most once.
-    pub once_key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
--- a/src/logic/router/calls.rs
+++ b/src/logic/router/calls.rs
@@ -38,7 +38,7 @@
     /// Request the lease for the planner's key; sent at this time.
     PlannerLease(Millis),
     /// Create the planner's key, attached to the lease.
-    TakePlanner {
+    AcquirePlanner {
         /// The lease.
         lease: i64,
         /// When the lease was requested.
--- a/src/logic/router/claim_batch.rs
+++ b/src/logic/router/claim_batch.rs
@@ -47,11 +47,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClaimBatch {
     /// Queued claims.
-    pub waiting: Vec<QueuedClaim>,
+    pub queued: Vec<QueuedClaim>,
     /// Claims forwarded to other routers.
     pub forwarded: Vec<ForwardedClaim>,
     /// When the queued claims are due to be written; earlier if a batch is full.
-    pub due: Millis,
+    pub write_at: Millis,
     /// Lease for new claims.
     pub lease: Option<i64>,
     /// When the lease was requested.
@@ -95,10 +95,10 @@
     write: ClaimWrite,
     forwarded_by: Option<InstanceId>,
 ) {
-    if state.claims.waiting.is_empty() {
-        state.claims.due = now + state.params.claim_ms;
+    if state.claims.queued.is_empty() {
+        state.claims.write_at = now + state.params.claim_ms;
     }
-    state.claims.waiting.push(QueuedClaim {
+    state.claims.queued.push(QueuedClaim {
         write,
         forwarded_by,
     });
@@ -115,8 +115,8 @@
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     renew_lease(state, now, out);
     requeue_overdue(state, now);
-    let full = state.claims.waiting.len() >= state.params.claim_batch as usize;
-    let due = !state.claims.waiting.is_empty() && (full || now >= state.claims.due);
+    let full = state.claims.queued.len() >= state.params.claim_batch as usize;
+    let due = !state.claims.queued.is_empty() && (full || now >= state.claims.write_at);
     let in_flight = state.calls.values();
     let in_flight = in_flight
         .filter(|p| matches!(p, CallPurpose::Claims(_)))
@@ -129,7 +129,7 @@
     };
     let writes = take_batch(state);
     let op = batch_swap(&writes, lease);
-    state.call(CallPurpose::Claims(writes), op, out);
+    state.call_store(CallPurpose::Claims(writes), op, out);
 }
 
 /// Queues forwarded claims for which no reply has come in time.
@@ -148,7 +148,7 @@
     let limit = state.params.claim_batch as usize;
     let mut taken: Vec<QueuedClaim> = Vec::new();
     let mut left = Vec::new();
-    for claim in std::mem::take(&mut state.claims.waiting) {
+    for claim in std::mem::take(&mut state.claims.queued) {
         let duplicate = taken.iter().any(|t| t.write.key == claim.write.key);
         if duplicate || taken.len() >= limit {
             left.push(claim);
@@ -156,7 +156,7 @@
             taken.push(claim);
         }
     }
-    state.claims.waiting = left;
+    state.claims.queued = left;
     taken
 }
 
@@ -185,7 +185,7 @@
 fn renew_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     let keep = state.params.claim_keep_ms;
     let fresh = state.claims.lease.is_some() && now < state.claims.leased_at + keep / 8;
-    if fresh || state.calling(|p| matches!(p, CallPurpose::ClaimLease(_))) {
+    if fresh || state.has_call(|p| matches!(p, CallPurpose::ClaimLease(_))) {
         return;
     }
     // A quarter longer than `claim_keep_ms`, so that claims written last under this lease are kept
@@ -194,5 +194,5 @@
     let op = StoreCall::Grant {
         ttl_s: ttl_s.max(1),
     };
-    state.call(CallPurpose::ClaimLease(now), op, out);
+    state.call_store(CallPurpose::ClaimLease(now), op, out);
 }
--- a/src/logic/router/claim_query.rs
+++ b/src/logic/router/claim_query.rs
@@ -109,14 +109,14 @@
     }
     if request.attempt >= limit {
         let detail = "other routers are trying the same Idempotency-Key; try again with it";
-        let problem = Problem::unknown(409, detail).retry_in(hint);
+        let problem = Problem::unknown(409, detail).with_retry(hint);
         return finish::give_up(state, now, id, problem, out);
     }
     request.attempt += 1;
     out.push(Effect::Send {
         to: agent,
         message: Message::Query {
-            run: request.run(),
+            run: request.run_id(),
             once: Once {
                 key: claim.key,
                 attempt: claim.attempt,
@@ -143,7 +143,7 @@
     let Stage::Querying { agent, .. } = request.stage.clone() else {
         return;
     };
-    if request.run() != run {
+    if request.run_id() != run {
         return;
     }
     match recall {
@@ -192,11 +192,11 @@
     let Some(request) = state.requests.get_mut(&id) else {
         return;
     };
-    let Some(rest) = text.get(request.text.len()..) else {
+    let Some(rest) = text.get(request.delivered_text.len()..) else {
         return;
     };
-    if pieces > request.pieces {
-        let more = pieces - request.pieces;
+    if pieces > request.delivered {
+        let more = pieces - request.delivered;
         attempts::deliver(request, now, more, rest.to_string(), out);
     }
 }
--- a/src/logic/router/claim_writers.rs
+++ b/src/logic/router/claim_writers.rs
@@ -19,7 +19,7 @@
         return None;
     }
     let chosen = &writers[(hash(key) % writers.len() as u64) as usize];
-    let reached = state.peers.get(chosen).is_some_and(|p| p.up);
+    let reached = state.peers.get(chosen).is_some_and(|p| p.connected);
     (*chosen != state.own_id && reached).then(|| chosen.clone())
 }
 
--- a/src/logic/router/claims.rs
+++ b/src/logic/router/claims.rs
@@ -24,7 +24,7 @@
             state,
             now,
             id,
-            Problem::not_run(503, detail).retry_in(hint),
+            Problem::not_run(503, detail).with_retry(hint),
             out,
         );
     }
@@ -289,7 +289,7 @@
     claim.revision = revision;
     if record.released && seen_before {
         let detail = "a request with the same Idempotency-Key was given up";
-        let problem = Problem::not_run(503, detail).retry_in(state.params.hint_ms);
+        let problem = Problem::not_run(503, detail).with_retry(state.params.hint_ms);
         return finish::end_with_problem(state, now, write.request, problem, out);
     }
     if record.released {
--- a/src/logic/router/finish.rs
+++ b/src/logic/router/finish.rs
@@ -14,7 +14,7 @@
     status: u16,
     out: &mut Vec<Effect>,
 ) {
-    let pieces = state.requests.get(&id).map_or(0, |r| r.pieces);
+    let pieces = state.requests.get(&id).map_or(0, |r| r.delivered);
     let part = if status >= 400 && pieces == 0 {
         let detail = format!("the endpoint answered with status {status}");
         AnswerPart::Problem(Problem::failed(status, detail))
@@ -130,13 +130,13 @@
         return;
     };
     if let Some(load) = request.group().and_then(|g| state.loads.get_mut(g)) {
-        load.own = load.own.saturating_sub(1);
+        load.in_flight = load.in_flight.saturating_sub(1);
     }
-    if let Some(used) = state.accounts.get_mut(&request.account) {
+    if let Some(used) = state.account_counts.get_mut(&request.account) {
         *used = used.saturating_sub(1);
         if *used == 0 {
-            state.accounts.remove(&request.account);
+            state.account_counts.remove(&request.account);
         }
     }
-    then(request.account, request.class, request.since);
+    then(request.account, request.class, request.arrived_at);
 }
--- a/src/logic/router/fleet.rs
+++ b/src/logic/router/fleet.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fleet {
     /// Whether a complete read has been applied since the last one was requested.
-    pub read: bool,
+    pub is_read: bool,
     /// Domain records by name.
     pub domains: BTreeMap<Arc<str>, Versioned<DomainRecord>>,
     /// Bundles by number.
@@ -25,7 +25,7 @@
 
 impl Fleet {
     /// A group's record.
-    pub fn group(&self, id: &GroupId) -> Option<&GroupRecord> {
+    pub fn find_group(&self, id: &GroupId) -> Option<&GroupRecord> {
         self.domains.get(&id.domain)?.0.group(id)
     }
 
@@ -35,22 +35,22 @@
     }
 
     /// Data hall of a domain.
-    pub fn hall(&self, domain: &Arc<str>) -> Option<&Arc<str>> {
+    pub fn hall_of(&self, domain: &Arc<str>) -> Option<&Arc<str>> {
         self.domains.get(domain).map(|(record, _)| &record.hall)
     }
 }
 
 /// Starts to read everything again, unless such a read is in flight.
 pub(super) fn start_read(state: &mut RouterState, out: &mut Vec<Effect>) {
-    state.fleet.read = false;
-    if state.calling(|p| *p == CallPurpose::ReadFleet) {
+    state.fleet.is_read = false;
+    if state.has_call(|p| *p == CallPurpose::ReadFleet) {
         return;
     }
     let op = StoreCall::Read {
         key: Keys::FLEET.to_string(),
         prefix: true,
     };
-    state.call(CallPurpose::ReadFleet, op, out);
+    state.call_store(CallPurpose::ReadFleet, op, out);
 }
 
 /// Applies a complete read and starts the watch from the revision after it.
@@ -63,7 +63,7 @@
     entries: Vec<StoreEntry>,
     out: &mut Vec<Effect>,
 ) {
-    state.fleet.read = true;
+    state.fleet.is_read = true;
     let read_keys: Vec<_> = entries.iter().map(|e| e.key.clone()).collect();
     let gone: Vec<_> = state
         .fleet
--- a/src/logic/router/head.rs
+++ b/src/logic/router/head.rs
@@ -16,9 +16,9 @@
     /// Time up to which the bundle in force is known to have been the newest.
     pub proven_at: Option<Millis>,
     /// When the head is read next from the key-value service.
-    pub prove_at: Millis,
+    pub read_at: Millis,
     /// When other routers are asked next.
-    pub ask_at: Millis,
+    pub query_at: Millis,
     /// Whether the proof was recent enough at the last check, to log changes.
     pub was_proven: bool,
 }
@@ -42,18 +42,18 @@
 /// Reads the head from the key-value service when that is due.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     log_proof_change(state, now, out);
-    if now < state.head.prove_at {
+    if now < state.head.read_at {
         return;
     }
-    state.head.prove_at = now + state.params.prove_ms;
-    if state.calling(|p| matches!(p, CallPurpose::ProveHead(_))) {
+    state.head.read_at = now + state.params.prove_ms;
+    if state.has_call(|p| matches!(p, CallPurpose::ProveHead(_))) {
         return;
     }
     let op = StoreCall::Read {
         key: Keys::HEAD.to_string(),
         prefix: false,
     };
-    state.call(CallPurpose::ProveHead(now), op, out);
+    state.call_store(CallPurpose::ProveHead(now), op, out);
 }
 
 /// Logs when the proof has become too old or recent enough again.
@@ -69,7 +69,7 @@
         LogCode::HeadUnproven
     };
     out.push(Effect::Log(
-        LogEvent::new(code).with("bundle", state.number()),
+        LogEvent::new(code).with("bundle", state.bundle_number()),
     ));
 }
 
@@ -90,7 +90,7 @@
     if let Some(entry) = entry {
         on_head(state, now, head, entry.revision, out);
     }
-    if number == state.number() {
+    if number == state.bundle_number() {
         record_proof(state, asked_at);
     }
 }
@@ -109,7 +109,7 @@
         if revision > state.head.revision {
             let event = LogEvent::new(LogCode::HeadWentBack)
                 .with("found", head.number)
-                .with("in_force", state.number());
+                .with("in_force", state.bundle_number());
             out.push(Effect::Log(event));
         }
         return;
@@ -117,7 +117,7 @@
     let number = head.number;
     state.head.head = head;
     state.head.revision = state.head.revision.max(revision);
-    if number <= state.number() {
+    if number <= state.bundle_number() {
         return;
     }
     match state.fleet.bundles.get(&number) {
@@ -133,14 +133,14 @@
     bundle: Arc<Bundle>,
     out: &mut Vec<Effect>,
 ) {
-    if bundle.number <= state.number() {
+    if bundle.number <= state.bundle_number() {
         return;
     }
     let event = LogEvent::new(LogCode::BundleInForce).with("bundle", bundle.number);
     out.push(Effect::Log(event));
     state.head.bundle = Some(bundle);
     state.head.proven_at = None;
-    state.head.prove_at = now;
-    state.head.ask_at = now;
+    state.head.read_at = now;
+    state.head.query_at = now;
     agents::broadcast_brief(state, out);
 }
--- a/src/logic/router/operator.rs
+++ b/src/logic/router/operator.rs
@@ -34,7 +34,7 @@
                     .values()
                     .map(|(a, _)| a.clone())
                     .collect(),
-                head: state.number(),
+                head: state.bundle_number(),
             };
             out.push(Effect::Reply { job, reply });
         }
@@ -61,7 +61,7 @@
         let lines: Vec<_> = faults.iter().map(|f| f.to_string()).collect();
         return reply_problem(job, Problem::not_run(422, lines.join("\n")), out);
     }
-    if !state.fleet.read {
+    if !state.fleet.is_read {
         let detail = "the key-value service hasn't been read yet";
         return reply_problem(job, Problem::not_run(503, detail), out);
     }
@@ -73,7 +73,7 @@
         body,
     };
     let op = create_key(Keys::bundle(number), &bundle);
-    state.call(CallPurpose::Submit { job, number }, op, out);
+    state.call_store(CallPurpose::Submit { job, number }, op, out);
 }
 
 /// A write that succeeds only if the key doesn't exist yet.
@@ -143,7 +143,7 @@
         by: by.clone(),
     };
     let op = create_key(Keys::approval(number), &approval);
-    state.call(CallPurpose::Approve { job, number, by }, op, out);
+    state.call_store(CallPurpose::Approve { job, number, by }, op, out);
 }
 
 /// Handles the result of writing an approval. One that exists already counts as success.
--- a/src/logic/router/peers.rs
+++ b/src/logic/router/peers.rs
@@ -12,12 +12,12 @@
     /// Where it listens; absent if it isn't listed and known only from its queries.
     pub addr: Option<SocketAddr>,
     /// Whether a session is open.
-    pub up: bool,
+    pub connected: bool,
     /// Whether this router dials it and keeps a session with it.
     pub dialled: bool,
     /// When the last query was sent to which it replied that it has no newer bundle and no
     /// unsettled roll.
-    pub heard_at: Option<Millis>,
+    pub confirmed_at: Option<Millis>,
     /// Whether it has replied since this process started, so that it knows this router.
     pub has_replied: bool,
 }
@@ -50,9 +50,9 @@
     fn unknown() -> Self {
         Self {
             addr: None,
-            up: false,
+            connected: false,
             dialled: false,
-            heard_at: None,
+            confirmed_at: None,
             has_replied: false,
         }
     }
@@ -63,15 +63,15 @@
 /// that write claims.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
     prove_by_peers(state, now);
-    if now < state.head.ask_at {
+    if now < state.head.query_at {
         return;
     }
-    state.head.ask_at = now + state.params.ask_ms;
+    state.head.query_at = now + state.params.ask_ms;
     let fresh = state
         .head
         .proven_at
         .is_some_and(|at| now < at + state.params.proof_ms / 2);
-    let number = state.number();
+    let number = state.bundle_number();
     let writers = claim_writers::writers(state);
     for (id, peer) in &mut state.peers {
         let asked = !fresh || !peer.has_replied;
@@ -118,15 +118,15 @@
 /// the instance list.
 fn prove_by_peers(state: &mut RouterState, now: Millis) {
     let unsettled = state.rules.settled_only && state.roll.is_some();
-    if !state.list_known || unsettled {
+    if !state.has_list || unsettled {
         return;
     }
     let mut oldest = now;
     for peer in state.peers.values() {
-        let Some(heard) = peer.heard_at else {
+        let Some(confirmed) = peer.confirmed_at else {
             return;
         };
-        oldest = oldest.min(heard);
+        oldest = oldest.min(confirmed);
     }
     head::record_proof(state, oldest);
 }
@@ -135,10 +135,10 @@
 pub(super) fn on_session(state: &mut RouterState, now: Millis, id: &InstanceId, up: bool) {
     if up {
         // Query at once instead of at the next interval.
-        state.head.ask_at = now;
+        state.head.query_at = now;
     }
     if let Some(peer) = state.peers.get_mut(id) {
-        peer.up = up;
+        peer.connected = up;
     }
 }
 
@@ -157,7 +157,7 @@
         .peers
         .entry(from.id.clone())
         .or_insert_with(PeerView::unknown);
-    let own = state.number();
+    let own = state.bundle_number();
     let bundle = state.bundle().filter(|_| number < own);
     let reply = HeadReply {
         asked_at,
@@ -171,7 +171,7 @@
         message: Message::HeadReply(reply),
     });
     if number > own {
-        state.head.ask_at = now;
+        state.head.query_at = now;
     }
 }
 
@@ -189,7 +189,7 @@
     if let Some(bundle) = reply.bundle {
         head::adopt(state, now, Arc::new(*bundle), out);
     }
-    let own = state.number();
+    let own = state.bundle_number();
     let unsettled = state.rules.settled_only && !reply.settled;
     let Some(peer) = state.peers.get_mut(&from.id) else {
         return;
@@ -198,8 +198,8 @@
     if reply.number > own || unsettled {
         return;
     }
-    let before = peer.heard_at.unwrap_or(0);
-    peer.heard_at = Some(before.max(reply.asked_at));
+    let before = peer.confirmed_at.unwrap_or(0);
+    peer.confirmed_at = Some(before.max(reply.asked_at));
     if reply.number < own {
         return;
     }
--- a/src/logic/router/planner/fleet_view.rs
+++ b/src/logic/router/planner/fleet_view.rs
@@ -54,7 +54,7 @@
     now: Millis,
     body: &'a BundleBody,
     record: &'a DomainRecord,
-    hall: &'a BTreeMap<Arc<str>, ModelCounts>,
+    model_counts: &'a BTreeMap<Arc<str>, ModelCounts>,
 ) -> PlanInput<'a> {
     let instances: Vec<&Instance> = by_domain.get(&record.domain).cloned().unwrap_or_default();
     let mut health: BTreeMap<InstanceId, InstanceHealth> = instances
@@ -84,9 +84,9 @@
         health,
         conditions,
         failing,
-        hall,
+        model_counts,
         patience_ms: state.params.patience_ms,
-        trade: state.params.trade,
+        allow_trade: state.params.trade,
     }
 }
 
--- a/src/logic/router/planner/form.rs
+++ b/src/logic/router/planner/form.rs
@@ -12,10 +12,14 @@
     let mut specs: Vec<_> = input.body.models.iter().collect();
     specs.sort_by_key(|m| std::cmp::Reverse(m.value));
     for spec in specs {
-        let hall = input.hall.get(&spec.name).copied().unwrap_or_default();
+        let counts = input
+            .model_counts
+            .get(&spec.name)
+            .copied()
+            .unwrap_or_default();
         let existing = count_current(&input.record.groups, spec);
-        let mut wanted = spec.per_hall.saturating_sub(hall.current);
-        if hall.failing > 0 && hall.old > 0 {
+        let mut wanted = spec.per_hall.saturating_sub(counts.current);
+        if counts.failing > 0 && counts.old > 0 {
             // The rollout is halted: a version that fails to load gets no more instances.
             wanted = 0;
         }
--- a/src/logic/router/planner/plan_input.rs
+++ b/src/logic/router/planner/plan_input.rs
@@ -20,12 +20,12 @@
     /// Groups with a member whose endpoint failed to load.
     pub failing: Vec<GroupId>,
     /// Counts over the whole data hall, by model.
-    pub hall: &'a BTreeMap<Arc<str>, ModelCounts>,
+    pub model_counts: &'a BTreeMap<Arc<str>, ModelCounts>,
     /// Longest time for which a silent member keeps its place, in milliseconds.
     pub patience_ms: Millis,
     /// Whether a group may be dissolved to repair another one, if the gain by the operators'
     /// weights is positive.
-    pub trade: bool,
+    pub allow_trade: bool,
 }
 
 impl PlanInput<'_> {
--- a/src/logic/router/planner/planner_state.rs
+++ b/src/logic/router/planner/planner_state.rs
@@ -10,9 +10,9 @@
     /// The lease is held before this time on the router's own clock.
     pub held_until: Millis,
     /// When the lease is next renewed, or its key read to acquire it.
-    pub lease_at: Millis,
+    pub lease_due: Millis,
     /// When the next planning pass is due.
-    pub plan_at: Millis,
+    pub next_pass: Millis,
     /// Since when each silent instance has been without a session with this router, or missing
     /// by its leader's report.
     pub silent_since: BTreeMap<InstanceId, Millis>,
@@ -28,7 +28,7 @@
 
 impl PlannerState {
     /// Whether the planner lease is held at `now`.
-    pub fn holds(&self, now: Millis) -> bool {
+    pub fn is_held(&self, now: Millis) -> bool {
         self.lease.is_some() && now < self.held_until
     }
 }
--- a/src/logic/router/planner/planning_pass.rs
+++ b/src/logic/router/planner/planning_pass.rs
@@ -26,18 +26,18 @@
 ) {
     check_lease_change(state, now, out);
     renew_lease(state, now, out);
-    if now < state.planner.plan_at {
+    if now < state.planner.next_pass {
         return;
     }
-    state.planner.plan_at = now + state.params.plan_ms;
+    state.planner.next_pass = now + state.params.plan_ms;
     update_silence(state, now);
-    if state.planner.holds(now) && state.fleet.read && state.list_known {
+    if state.planner.is_held(now) && state.fleet.is_read && state.has_list {
         plan_hall(state, now, out);
     }
 }
 
 fn check_lease_change(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let held = state.planner.holds(now);
+    let held = state.planner.is_held(now);
     if held == state.planner.was_held {
         return;
     }
@@ -54,24 +54,24 @@
 /// Renews the lease while it is held. Otherwise reads the planner key, to acquire the lease when
 /// the key is free.
 fn renew_lease(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    if now < state.planner.lease_at {
+    if now < state.planner.lease_due {
         return;
     }
-    state.planner.lease_at = now + state.params.planner_ms / 3;
-    let busy = state.calling(|p| {
+    state.planner.lease_due = now + state.params.planner_ms / 3;
+    let busy = state.has_call(|p| {
         matches!(
             p,
             CallPurpose::ReadPlanner
                 | CallPurpose::PlannerLease(_)
-                | CallPurpose::TakePlanner { .. }
+                | CallPurpose::AcquirePlanner { .. }
                 | CallPurpose::RenewPlanner(_)
         )
     });
     if busy {
         return;
     }
-    if let (true, Some(lease)) = (state.planner.holds(now), state.planner.lease) {
-        state.call(
+    if let (true, Some(lease)) = (state.planner.is_held(now), state.planner.lease) {
+        state.call_store(
             CallPurpose::RenewPlanner(now),
             StoreCall::Renew { lease },
             out,
@@ -86,7 +86,7 @@
         key: Keys::planner(&state.hall),
         prefix: false,
     };
-    state.call(CallPurpose::ReadPlanner, op, out);
+    state.call_store(CallPurpose::ReadPlanner, op, out);
 }
 
 /// Handles the reply to a store call of the planner.
@@ -102,7 +102,7 @@
             if entries.is_empty() =>
         {
             let ttl_s = (state.params.planner_ms / 1_000).max(1);
-            state.call(
+            state.call_store(
                 CallPurpose::PlannerLease(now),
                 StoreCall::Grant { ttl_s },
                 out,
@@ -112,12 +112,12 @@
             acquire_lease(state, lease, asked_at, out);
         }
         (
-            CallPurpose::TakePlanner { lease, asked_at },
+            CallPurpose::AcquirePlanner { lease, asked_at },
             Ok(StoreReply::Transaction { done: true, .. }),
         ) => {
             state.planner.lease = Some(lease);
             state.planner.held_until = asked_at + state.params.planner_ms;
-            state.planner.plan_at = now;
+            state.planner.next_pass = now;
         }
         (CallPurpose::RenewPlanner(asked_at), Ok(StoreReply::Lease { ttl_s, .. })) => {
             if ttl_s == 0 {
@@ -148,7 +148,7 @@
         deletes: Vec::new(),
         reads: Vec::new(),
     };
-    state.call(CallPurpose::TakePlanner { lease, asked_at }, op, out);
+    state.call_store(CallPurpose::AcquirePlanner { lease, asked_at }, op, out);
 }
 
 /// Applies the record that stands after a write, or reads it again where the reply doesn't tell.
@@ -229,13 +229,13 @@
     };
     refill_tokens(state, now);
     let leaving = leaving_instances(state);
-    let hall = count_groups(state, &leaving, &bundle.body);
-    log_halts(state, &hall, out);
+    let model_counts = count_groups(state, &leaving, &bundle.body);
+    log_halts(state, &model_counts, out);
     let known = state.instances.clone();
     let by_domain = instances_by_domain(&known, &state.hall);
     for (domain, record, revision) in hall_domains(state) {
         let writing =
-            state.calling(|p| matches!(p, CallPurpose::WriteDomain(r) if r.domain == domain));
+            state.has_call(|p| matches!(p, CallPurpose::WriteDomain(r) if r.domain == domain));
         if writing || state.planner.write_milli_tokens < 1_000 {
             continue;
         }
@@ -246,7 +246,7 @@
             now,
             &bundle.body,
             &record,
-            &hall,
+            &model_counts,
         );
         let Some(plan) = plan(&input) else {
             continue;
@@ -272,10 +272,10 @@
 /// Logs once when a rollout is halted because groups of the new version fail to load.
 fn log_halts(
     state: &mut RouterState,
-    hall: &BTreeMap<Arc<str>, ModelCounts>,
+    model_counts: &BTreeMap<Arc<str>, ModelCounts>,
     out: &mut Vec<Effect>,
 ) {
-    for (model, count) in hall {
+    for (model, count) in model_counts {
         let halted = count.failing > 0 && count.old > 0;
         let known = state.planner.halted_rollouts.contains_key(&**model);
         if halted && !known {
@@ -307,5 +307,5 @@
         deletes: Vec::new(),
         reads: vec![key],
     };
-    state.call(CallPurpose::WriteDomain(Box::new(plan.record)), op, out);
+    state.call_store(CallPurpose::WriteDomain(Box::new(plan.record)), op, out);
 }
--- a/src/logic/router/planner/repair.rs
+++ b/src/logic/router/planner/repair.rs
@@ -139,7 +139,7 @@
     broken: &GroupRecord,
     needed: usize,
 ) -> Option<GroupRecord> {
-    if !input.trade {
+    if !input.allow_trade {
         return None;
     }
     let mut best: Option<(i64, &GroupRecord)> = None;
--- a/src/logic/router/planner/retire.rs
+++ b/src/logic/router/planner/retire.rs
@@ -55,17 +55,21 @@
     let Some(spec) = input.body.model(&group.model) else {
         return true;
     };
-    let hall = input.hall.get(&group.model).copied().unwrap_or_default();
+    let counts = input
+        .model_counts
+        .get(&group.model)
+        .copied()
+        .unwrap_or_default();
     if is_current(group, spec) {
-        return hall.current > spec.per_hall;
+        return counts.current > spec.per_hall;
     }
     // Draining an outdated group must leave at least `floor` groups open, unless it isn't open
     // itself. It begins once new groups have replaced it, or while no group of the model drains,
     // loads or fails to load, so that the next new group can be formed from its instances.
-    let open = hall.current_open + hall.old_open;
+    let open = counts.current_open + counts.old_open;
     let keeps_floor = input.condition_of(&group.id) != GroupCondition::Open || open > spec.floor;
-    let loading = hall.current > hall.current_open;
-    let replaced = hall.current_open >= spec.per_hall;
-    let may_start = hall.draining == 0 && !loading && hall.failing == 0;
+    let loading = counts.current > counts.current_open;
+    let replaced = counts.current_open >= spec.per_hall;
+    let may_start = counts.draining == 0 && !loading && counts.failing == 0;
     keeps_floor && (replaced || may_start)
 }
--- a/src/logic/router/problem.rs
+++ b/src/logic/router/problem.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds a hint when to try again.
-    pub fn retry_in(mut self, ms: Millis) -> Self {
+    pub fn with_retry(mut self, ms: Millis) -> Self {
         self.retry_ms = Some(ms);
         self
     }
--- a/src/logic/router/request.rs
+++ b/src/logic/router/request.rs
@@ -78,7 +78,7 @@
     /// Body.
     pub body: Arc<str>,
     /// When it arrived.
-    pub since: Millis,
+    pub arrived_at: Millis,
     /// When its deadline passes.
     pub deadline: Millis,
     /// State of its claim; present if it may not be repeated.
@@ -90,16 +90,16 @@
     /// Whether an earlier attempt may have run.
     pub maybe_ran: bool,
     /// Pieces passed on to the caller.
-    pub pieces: u64,
+    pub delivered: u64,
     /// Their text, for an attempt that continues after them.
-    pub text: String,
+    pub delivered_text: String,
     /// Group of the last attempt that was refused or broke; avoided if there is another one.
-    pub avoid: Option<GroupId>,
+    pub avoid_group: Option<GroupId>,
 }
 
 impl Request {
     /// Id of the present attempt.
-    pub fn run(&self) -> RunId {
+    pub fn run_id(&self) -> RunId {
         RunId {
             request: self.id,
             attempt: self.attempt,
@@ -115,7 +115,7 @@
     }
 
     /// Time left until the deadline, in milliseconds.
-    pub fn left(&self, now: Millis) -> Millis {
+    pub fn remaining_ms(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 }
--- a/src/logic/router/roll.rs
+++ b/src/logic/router/roll.rs
@@ -21,9 +21,9 @@
     /// Revision that the head must have.
     pub revision: i64,
     /// Operator's call that waits for the result; `None` once it is answered.
-    pub job: Option<u64>,
+    pub operator_call: Option<u64>,
     /// When the operator asked for it.
-    pub since: Millis,
+    pub started_at: Millis,
     /// When the write is repeated next.
     pub retry_at: Millis,
 }
@@ -48,8 +48,8 @@
     state.roll = Some(PendingRoll {
         head: Head { number, by, nonce },
         revision: state.head.revision,
-        job: Some(job),
-        since: now,
+        operator_call: Some(job),
+        started_at: now,
         retry_at: now,
     });
     on_tick(state, now, out);
@@ -57,7 +57,7 @@
 
 /// Whether a bundle can be put in force by this router now.
 fn check_roll(state: &RouterState, number: u64) -> Result<(), Problem> {
-    if !state.fleet.read {
+    if !state.fleet.is_read {
         return Err(Problem::not_run(
             503,
             "the key-value service hasn't been read yet",
@@ -102,12 +102,12 @@
 
 /// Writes the head, again and again until the result is known.
 pub(super) fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    let in_flight = state.calling(|p| *p == CallPurpose::Roll);
+    let in_flight = state.has_call(|p| *p == CallPurpose::Roll);
     let Some(roll) = &mut state.roll else {
         return;
     };
-    if now >= roll.since + REPLY_TIMEOUT_MS {
-        if let Some(job) = roll.job.take() {
+    if now >= roll.started_at + REPLY_TIMEOUT_MS {
+        if let Some(job) = roll.operator_call.take() {
             let detail =
                 "the key-value service doesn't answer; check the status before trying again";
             out.push(Effect::Reply {
@@ -133,7 +133,7 @@
         deletes: old_bundle_keys(number),
         reads: vec![Keys::HEAD.to_string()],
     };
-    state.call(CallPurpose::Roll, op, out);
+    state.call_store(CallPurpose::Roll, op, out);
 }
 
 /// Older bundles that are kept when a new one is put in force.
@@ -195,7 +195,7 @@
         .with("by", &roll.head.by);
     out.push(Effect::Log(event));
     head::on_head(state, now, roll.head, revision, out);
-    if let Some(job) = roll.job {
+    if let Some(job) = roll.operator_call {
         out.push(Effect::Reply {
             job,
             reply: OperatorReply::Rolled(number),
@@ -219,7 +219,7 @@
         found.number, found.by
     );
     head::on_head(state, now, found, revision, out);
-    if let Some(job) = roll.job {
+    if let Some(job) = roll.operator_call {
         out.push(Effect::Reply {
             job,
             reply: OperatorReply::Problem(Problem::not_run(409, detail)),
--- a/src/logic/router/route.rs
+++ b/src/logic/router/route.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GroupLoad {
     /// Attempts of this router in flight there.
-    pub own: u32,
+    pub in_flight: u32,
     /// Attempts that this router has sent since the leader's last report.
     pub since_report: u32,
     /// Moving mean of the time from the arrival of a request to its complete answer there, in
@@ -83,30 +83,30 @@
 ) -> Result<Choice, Problem> {
     let mut candidates = candidates(state, now, request);
     if candidates.len() > 1 {
-        candidates.retain(|c| Some(&c.group) != request.avoid.as_ref());
+        candidates.retain(|c| Some(&c.group) != request.avoid_group.as_ref());
     }
     let hint = state.params.hint_ms;
     if candidates.is_empty() {
         let detail = format!("no group of model {:?} takes work now", request.model);
-        return Err(Problem::not_run(503, detail).retry_in(hint));
+        return Err(Problem::not_run(503, detail).with_retry(hint));
     }
     let best = match state.params.policy {
         RoutePolicy::LeastWait => least_wait(state, request, &candidates),
         RoutePolicy::Random => state.random(candidates.len() as u64) as usize,
         RoutePolicy::RoundRobin => {
-            state.turn += 1;
-            (state.turn % candidates.len() as u64) as usize
+            state.round_robin += 1;
+            (state.round_robin % candidates.len() as u64) as usize
         }
     };
     let best = candidates.swap_remove(best);
-    let left = request.left(now);
+    let left = request.remaining_ms(now);
     if best.wait >= left {
         let detail = format!(
             "the request would start in {} ms, after its deadline",
             best.wait
         );
         let excess = best.wait - left;
-        return Err(Problem::not_run(503, detail).retry_in(excess.max(hint)));
+        return Err(Problem::not_run(503, detail).with_retry(excess.max(hint)));
     }
     remember_prefix(state, request, &best.group);
     Ok(Choice {
@@ -125,7 +125,7 @@
         if !lead.open || lead.phase == Phase::Draining {
             continue;
         }
-        let Some(record) = state.fleet.group(&lead.group) else {
+        let Some(record) = state.fleet.find_group(&lead.group) else {
             continue;
         };
         let fits = record.epoch == lead.epoch
@@ -135,7 +135,7 @@
         if !fits {
             continue;
         }
-        let near = state.fleet.hall(&lead.group.domain) == Some(&state.hall);
+        let near = state.fleet.hall_of(&lead.group.domain) == Some(&state.hall);
         let ramp = ramp_cost(state, now, view.opened_at, &lead.group);
         let (wait, cost) = expected_cost(state, request.priority, lead);
         let far = if near { 0 } else { state.params.far_ms };
@@ -179,7 +179,7 @@
     if age >= state.params.ramp_ms {
         return 0;
     }
-    let own = state.loads.get(group).map_or(0, |l| u64::from(l.own));
+    let own = state.loads.get(group).map_or(0, |l| u64::from(l.in_flight));
     own * (state.params.ramp_ms - age) / 10
 }
 
--- a/src/logic/router/router_state.rs
+++ b/src/logic/router/router_state.rs
@@ -42,7 +42,7 @@
     /// The instance list.
     pub instances: BTreeMap<InstanceId, Instance>,
     /// Whether the list has been fetched since the start.
-    pub list_known: bool,
+    pub has_list: bool,
     /// When the list is fetched next.
     pub list_at: Millis,
     /// Other routers.
@@ -56,11 +56,11 @@
     /// Groups that may have a prefix cached, by its hash; only a hint.
     pub prefixes: BTreeMap<u64, GroupId>,
     /// Counter of the round-robin policy.
-    pub turn: u64,
+    pub round_robin: u64,
     /// Requests in flight.
     pub requests: BTreeMap<RequestId, Request>,
     /// Number of requests in flight by client account.
-    pub accounts: BTreeMap<Arc<str>, u32>,
+    pub account_counts: BTreeMap<Arc<str>, u32>,
     /// Claims queued or forwarded to be written, and their lease.
     pub claims: ClaimBatch,
     /// Retry budget.
@@ -95,16 +95,16 @@
             next_call: 1,
             store_up: true,
             instances: BTreeMap::new(),
-            list_known: false,
+            has_list: false,
             list_at: 0,
             peers: BTreeMap::new(),
             agents: BTreeMap::new(),
             dial_at: 0,
             loads: BTreeMap::new(),
             prefixes: BTreeMap::new(),
-            turn: 0,
+            round_robin: 0,
             requests: BTreeMap::new(),
-            accounts: BTreeMap::new(),
+            account_counts: BTreeMap::new(),
             claims: ClaimBatch::default(),
             budget: RetryBudget::default(),
             planner: PlannerState::default(),
@@ -118,7 +118,7 @@
     }
 
     /// Number of the bundle in force; 0 before the first.
-    pub fn number(&self) -> u64 {
+    pub fn bundle_number(&self) -> u64 {
         self.head.bundle.as_ref().map_or(0, |b| b.number)
     }
 
@@ -146,7 +146,12 @@
     }
 
     /// Calls the key-value service and keeps the purpose of the call.
-    pub(super) fn call(&mut self, purpose: CallPurpose, op: StoreCall, out: &mut Vec<Effect>) {
+    pub(super) fn call_store(
+        &mut self,
+        purpose: CallPurpose,
+        op: StoreCall,
+        out: &mut Vec<Effect>,
+    ) {
         let call = self.next_call;
         self.next_call += 1;
         self.calls.insert(call, purpose);
@@ -154,7 +159,7 @@
     }
 
     /// Whether a call whose purpose matches is in flight.
-    pub(super) fn calling(&self, wanted: impl Fn(&CallPurpose) -> bool) -> bool {
+    pub(super) fn has_call(&self, wanted: impl Fn(&CallPurpose) -> bool) -> bool {
         self.calls.values().any(wanted)
     }
 }
--- a/src/logic/router/status.rs
+++ b/src/logic/router/status.rs
@@ -15,10 +15,10 @@
     FleetStatus {
         router: state.own_id.to_string(),
         hall: state.hall.to_string(),
-        bundle: state.number(),
+        bundle: state.bundle_number(),
         proven: head::is_proven(state, now),
         store_up: state.store_up,
-        planner: state.planner.holds(now),
+        planner: state.planner.is_held(now),
         requests: state.requests.len(),
         groups: state
             .fleet
--- a/src/logic/router/step.rs
+++ b/src/logic/router/step.rs
@@ -34,7 +34,7 @@
 
 /// Does the periodic work; called after every event, since time may have passed.
 fn on_tick(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    if !state.fleet.read {
+    if !state.fleet.is_read {
         retry_fleet_read(state, now, out);
     }
     head::on_tick(state, now, out);
@@ -56,7 +56,7 @@
 
 /// Reads the fleet again when the next read of the head is due.
 fn retry_fleet_read(state: &mut RouterState, now: Millis, out: &mut Vec<Effect>) {
-    if now >= state.head.prove_at {
+    if now >= state.head.read_at {
         fleet::start_read(state, out);
     }
 }
@@ -162,7 +162,7 @@
     let ListReply::Instances(instances) = list else {
         return;
     };
-    state.list_known = true;
+    state.has_list = true;
     state.instances = instances.into_iter().map(|i| (i.id.clone(), i)).collect();
     agents::schedule_dial(state, now);
     peers::on_list(state, out);
--- a/tests/check/bundles.rs
+++ b/tests/check/bundles.rs
@@ -130,7 +130,7 @@
         ..AgentParams::default()
     };
     let mut state = AgentState::new(InstanceId::new("x"), 1, 0, params);
-    state.ready_at = 0;
+    state.grants_from = 0;
     state.rules = rules;
     state
 }
@@ -206,22 +206,22 @@
     }
 
     fn feed(&mut self, r: usize, event: Event) {
-        let before = self.routers[r].number();
+        let before = self.routers[r].bundle_number();
         let mut node = Node::Router(Box::new(RouterState::clone(&self.routers[r])));
         let effects = step(&mut node, self.time, event);
         if let Node::Router(mut state) = node {
             // Numbers of ended calls are reused, so that equal states are recognized.
             state.next_call = state.calls.keys().max().map_or(1, |last| last + 1);
-            if state.number() < before {
+            if state.bundle_number() < before {
                 self.violation = Some(format!(
                     "{} went back to bundle {}",
                     NAMES[r],
-                    state.number()
+                    state.bundle_number()
                 ));
             }
             self.routers[r] = Hashed::new(*state);
         }
-        let now = self.routers[r].number();
+        let now = self.routers[r].bundle_number();
         if now > before {
             // A router sends the agents' part of a new bundle to its agents.
             self.send_to_agent(
@@ -498,7 +498,10 @@
         }
         for r in [0, 1] {
             let router = &self.routers[r];
-            let newer = self.accepted.iter().find(|(n, _)| *n > router.number());
+            let newer = self
+                .accepted
+                .iter()
+                .find(|(n, _)| *n > router.bundle_number());
             let Some((number, at)) = newer else {
                 continue;
             };
@@ -506,7 +509,7 @@
                 return Some(format!(
                     "{} accepts requests under bundle {} at {}, but {number} was accepted at {at}",
                     NAMES[r],
-                    router.number(),
+                    router.bundle_number(),
                     self.time
                 ));
             }
@@ -520,9 +523,9 @@
         let own = self.agent.brief.number;
         [0, 1]
             .into_iter()
-            .filter(|r| self.routers[*r].number() < own)
+            .filter(|r| self.routers[*r].bundle_number() < own)
             .find_map(|r| {
-                let bundle = self.routers[r].number();
+                let bundle = self.routers[r].bundle_number();
                 let order = RunOrder {
                     run: RunId {
                         request: RequestId { node: 1, number: 1 },
--- a/tests/check/claims.rs
+++ b/tests/check/claims.rs
@@ -250,7 +250,7 @@
     };
     let mut state = AgentState::new(InstanceId::new(NAMES[i]), incarnation, 0, params);
     // The wait after a start is part of the model of groups; here time stands still.
-    state.ready_at = 0;
+    state.grants_from = 0;
     state.rules = rules;
     Node::Agent(Box::new(state))
 }
@@ -546,7 +546,7 @@
                             path: Arc::from("/renew"),
                             body: Arc::from("{}"),
                             deadline_ms: None,
-                            once_key: Some("key".into()),
+                            idempotency_key: Some("key".into()),
                         })),
                     );
                 },
--- a/tests/check/groups.rs
+++ b/tests/check/groups.rs
@@ -133,7 +133,7 @@
         // The agents have been running for longer than the wait after a start.
         let agents = (0..3).map(|i| {
             let mut agent = new_agent(i, 1, 0, faults);
-            agent.ready_at = 0;
+            agent.grants_from = 0;
             Hashed::new(agent)
         });
         let start = Self {
@@ -351,7 +351,7 @@
     /// Orders a run of each record at each open leader, without keeping the resulting state;
     /// returns the first broken invariant.
     fn find_invalid_run(&self) -> Option<String> {
-        let leaders = (0..3).filter(|i| self.agents[*i].open(self.clock(*i)));
+        let leaders = (0..3).filter(|i| self.agents[*i].is_open(self.clock(*i)));
         leaders
             .flat_map(|i| records().map(|r| (i, r)))
             .find_map(|(i, record)| {
@@ -407,7 +407,7 @@
             return Some(reason);
         }
         let open: Vec<_> = (0..3)
-            .filter(|i| self.agents[*i].open(self.clock(*i)))
+            .filter(|i| self.agents[*i].is_open(self.clock(*i)))
             .filter_map(|i| self.agents[i].lead.as_ref())
             .collect();
         for (n, one) in open.iter().enumerate() {
--- a/tests/logic/budget.rs
+++ b/tests/logic/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: requests earn the tokens that retries spend.
+//! The retry budget: requests add the tokens that retries spend.
 
 use runrail::logic::router::RetryBudget;
 
@@ -8,8 +8,8 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..requests {
-        budget.earn();
-        retries += u32::from(budget.spend());
+        budget.add_request();
+        retries += u32::from(budget.try_spend());
     }
     retries
 }
--- a/tests/logic/fixture.rs
+++ b/tests/logic/fixture.rs
@@ -61,7 +61,7 @@
     /// `drafting`, which can be paused.
     pub fn open(params: AgentParams) -> Self {
         let mut state = AgentState::new(InstanceId::new("x"), 1, 0, params);
-        state.ready_at = 0;
+        state.grants_from = 0;
         state.brief = Brief {
             number: 1,
             classes: vec![class("urgent", 0, 1, false), class("drafting", 5, 0, true)],
--- a/tests/logic/planning.rs
+++ b/tests/logic/planning.rs
@@ -89,9 +89,9 @@
             health: self.health.clone(),
             conditions: self.conditions.clone(),
             failing: Vec::new(),
-            hall: &hall,
+            model_counts: &hall,
             patience_ms: 30_000,
-            trade: self.trade,
+            allow_trade: self.trade,
         })
     }
 
