--- a/src/host/host_event.rs
+++ b/src/host/host_event.rs
@@ -29,7 +29,7 @@
         reply: Sender<serde_json::Value>,
     },
     /// A session with another process was refused.
-    Refused {
+    SessionRefused {
         /// The other process.
         peer: String,
         /// The reason.
--- a/src/host/node_actor.rs
+++ b/src/host/node_actor.rs
@@ -123,7 +123,7 @@
                 // Fails only if the querying thread has stopped waiting.
                 let _ = reply.send(answer);
             }
-            HostEvent::Refused { peer, why } => {
+            HostEvent::SessionRefused { peer, why } => {
                 let event = LogEvent::new(LogCode::SessionRefused)
                     .with("peer", peer)
                     .with("why", why);
--- a/src/host/run_router.rs
+++ b/src/host/run_router.rs
@@ -83,7 +83,7 @@
             NetEvent::Message { from, message } => {
                 HostEvent::Step(Event::Message { from, message })
             }
-            NetEvent::Refused { peer, why } => HostEvent::Refused { peer, why },
+            NetEvent::Refused { peer, why } => HostEvent::SessionRefused { peer, why },
         });
     })
 }
--- a/src/link/fault.rs
+++ b/src/link/call_fault.rs
@@ -1,6 +1,6 @@
 /// Why an HTTP call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fault {
+pub(super) enum CallFault {
     /// Nothing was sent: the connection was refused.
     Refused,
     /// Nothing was sent: no connection could be opened in time, or it failed before the request
--- a/src/link/endpoint_calls.rs
+++ b/src/link/endpoint_calls.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use tokio::time::timeout;
 
-use super::fault::Fault;
+use super::call_fault::CallFault;
 use super::shared::Shared;
 use crate::logic::direct::{DirectEvent, GroupOrder, OrderResult, ProbeResult};
 use crate::logic::{LogCode, LogEvent};
@@ -42,7 +42,7 @@
                 send_rate(&shared, &id, None, answer.headers());
                 read_report(&shared, &id, answer.status(), answer.body())
             }
-            Ok(Err(Fault::Refused)) => ProbeResult::Refused,
+            Ok(Err(CallFault::Refused)) => ProbeResult::Refused,
             _ => ProbeResult::Silent,
         };
         shared.send_direct(DirectEvent::Probed { id, result });
@@ -114,20 +114,20 @@
 /// Sends a request and reads its answer of at most `max_bytes`.
 ///
 /// # Errors
-/// Returns a [`Fault`] if no complete answer was received, or if it is longer than `max_bytes`.
+/// Returns a [`CallFault`] if no complete answer was received, or if it is longer than `max_bytes`.
 pub(super) async fn fetch(
     shared: &Shared,
     addr: SocketAddr,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
-) -> Result<Response<Bytes>, Fault> {
+) -> Result<Response<Bytes>, CallFault> {
     let (response, connection) = shared
         .pool
         .send(addr, request, false, ORDER_TIMEOUT)
         .await?;
     let (head, body) = response.into_parts();
     let body = Limited::new(body, max_bytes).collect().await;
-    let body = body.map_err(|_| Fault::Broken)?.to_bytes();
+    let body = body.map_err(|_| CallFault::Broken)?.to_bytes();
     shared.pool.give_back(connection, None);
     Ok(Response::from_parts(head, body))
 }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -6,18 +6,18 @@
 
 mod answer_body;
 mod backlog;
+mod call_fault;
 mod callers;
 mod direct_actor;
 mod endpoint_calls;
 mod event_splitter;
-mod fault;
 mod link_event;
 mod page_timeout;
 mod peers;
 mod platform_adapter;
 mod pool;
 mod ready;
-mod reply;
+mod reply_head;
 mod run_direct;
 mod runs;
 mod shared;
@@ -28,13 +28,13 @@
 mod watch_result;
 mod watches;
 
-pub use backlog::more_wait;
+pub use backlog::has_backlog;
 pub use event_splitter::{EventSplitter, SplitEvent};
 pub use page_timeout::page_timeout;
 pub use platform_adapter::PlatformAdapter;
-pub use reply::Reply;
+pub use reply_head::ReplyHead;
 pub use run_direct::run_direct;
 pub use store_gate::{Permit, StoreGate};
 pub use store_page::StorePage;
 pub use watch_result::WatchResult;
-pub(crate) use watches::{Watch, WatchPace};
+pub(crate) use watches::{WatchPace, WatchTarget};
--- a/src/link/platform_adapter.rs
+++ b/src/link/platform_adapter.rs
@@ -2,7 +2,7 @@
 use http::{request, response, HeaderMap, Request, Response, StatusCode};
 use http_body_util::Full;
 
-use super::{Reply, StorePage, WatchResult};
+use super::{ReplyHead, StorePage, WatchResult};
 use crate::logic::direct::{
     DirectRequest, GroupOrder, OrderResult, ProbeResult, Problem, RunRequest,
 };
@@ -33,7 +33,7 @@
     /// Builds the request to an endpoint for a caller's request.
     pub build_run: fn(&RunRequest, &request::Parts, Bytes) -> Request<Full<Bytes>>,
     /// Parses the head of an endpoint's answer to the request with a label.
-    pub parse_reply: fn(&response::Parts, &str) -> Reply,
+    pub parse_reply: fn(&response::Parts, &str) -> ReplyHead,
     /// Parses how many requests a second an endpoint takes from all routers, if its answer
     /// has that limit; an error tells why it is invalid.
     pub parse_rate: fn(&HeaderMap) -> Result<Option<RequestRate>, String>,
--- a/src/link/pool.rs
+++ b/src/link/pool.rs
@@ -16,7 +16,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use super::fault::Fault;
+use super::call_fault::CallFault;
 use crate::host::Clock;
 use crate::types::Millis;
 
@@ -81,14 +81,14 @@
     /// closing them; `connect_time` bounds the opening of a new one.
     ///
     /// # Errors
-    /// Returns a [`Fault`], which tells whether the request may have been sent.
+    /// Returns a [`CallFault`], which tells whether the request may have been sent.
     pub async fn send(
         &self,
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
         fresh_only: bool,
         connect_time: Duration,
-    ) -> Result<(Response<Incoming>, Connection), Fault> {
+    ) -> Result<(Response<Incoming>, Connection), CallFault> {
         let mut request = request;
         while let Some(mut connection) = self.take(addr, fresh_only) {
             match connection.sender.try_send_request(request).await {
@@ -96,7 +96,7 @@
                 // Nothing was sent if the request comes back: another connection can send it.
                 Err(mut error) => match error.take_message() {
                     Some(back) => request = back,
-                    None => return Err(Fault::Broken),
+                    None => return Err(CallFault::Broken),
                 },
             }
         }
@@ -104,8 +104,8 @@
         match connection.sender.try_send_request(request).await {
             Ok(response) => Ok((response, connection)),
             Err(mut error) => match error.take_message() {
-                Some(_) => Err(Fault::NotSent),
-                None => Err(Fault::Broken),
+                Some(_) => Err(CallFault::NotSent),
+                None => Err(CallFault::Broken),
             },
         }
     }
@@ -151,16 +151,16 @@
     }
 }
 
-async fn connect(addr: SocketAddr, connect_time: Duration) -> Result<Connection, Fault> {
+async fn connect(addr: SocketAddr, connect_time: Duration) -> Result<Connection, CallFault> {
     let stream = match timeout(connect_time, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Err(Fault::Refused),
-        _ => return Err(Fault::NotSent),
+        Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Err(CallFault::Refused),
+        _ => return Err(CallFault::NotSent),
     };
     // An error is ignored: without TCP_NODELAY answers are only delayed.
     let _ = stream.set_nodelay(true);
     let io = TokioIo::new(stream);
-    let (sender, driver) = http1::handshake(io).await.map_err(|_| Fault::NotSent)?;
+    let (sender, driver) = http1::handshake(io).await.map_err(|_| CallFault::NotSent)?;
     let driver = tokio::task::spawn_local(async move {
         // An error of the connection is reported to the request that awaits its answer.
         let _ = driver.await;
--- a/src/link/reply.rs
+++ b/src/link/reply_head.rs
@@ -1,8 +1,8 @@
 /// What the head of an endpoint's answer shows about a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reply {
+pub struct ReplyHead {
     /// The answer doesn't belong to the request and isn't used.
-    pub foreign: bool,
+    pub is_foreign: bool,
     /// The endpoint reports that it did not run the request.
     pub not_run: bool,
     /// The body is a stream of events.
--- a/src/link/run_direct.rs
+++ b/src/link/run_direct.rs
@@ -63,7 +63,7 @@
         runs: RefCell::new(HashMap::new()),
         limits: Cell::new(CallerLimits::default()),
         routers: Cell::new(1),
-        reads_per_s: settings.reads,
+        reads_per_s: settings.reads_per_s,
         gate: StoreGate::default(),
         calls: RefCell::new(BTreeMap::new()),
         ready: Cell::new(false),
--- a/src/link/runs.rs
+++ b/src/link/runs.rs
@@ -8,8 +8,8 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
+use super::call_fault::CallFault;
 use super::endpoint_calls;
-use super::fault::Fault;
 use super::link_event::ReceivedRequest;
 use super::pool::Connection;
 use super::shared::{ActiveRun, Shared};
@@ -69,14 +69,14 @@
         .await;
     let (response, connection) = match sent {
         Ok(answer) => answer,
-        Err(Fault::Refused) => return Some(RunPart::NotSent { refused: true }),
-        Err(Fault::NotSent) => return Some(RunPart::NotSent { refused: false }),
-        Err(Fault::Broken) => return Some(RunPart::Broken),
+        Err(CallFault::Refused) => return Some(RunPart::NotSent { refused: true }),
+        Err(CallFault::NotSent) => return Some(RunPart::NotSent { refused: false }),
+        Err(CallFault::Broken) => return Some(RunPart::Broken),
     };
     let (head, body) = response.into_parts();
     endpoint_calls::send_rate(shared, &run.to, Some(run.run), &head.headers);
     let reply = (shared.adapter.parse_reply)(&head, &received.label);
-    if reply.foreign {
+    if reply.is_foreign {
         return Some(RunPart::Broken);
     }
     let keep_alive = keep_alive(&head.headers);
--- a/src/link/watch_result.rs
+++ b/src/link/watch_result.rs
@@ -11,7 +11,7 @@
         changes: Vec<StoreChange>,
     },
     /// The store no longer keeps the changes since the revision: all keys have to be read again.
-    Forgotten,
+    Compacted,
     /// No valid answer was received.
-    Fault,
+    NoAnswer,
 }
--- a/src/link/watches.rs
+++ b/src/link/watches.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{sleep, timeout};
 
-use super::backlog::more_wait;
+use super::backlog::has_backlog;
 use super::endpoint_calls::log_invalid;
 use super::shared::Shared;
 use super::store::{read_all, send_call, PrefixEntries};
@@ -21,14 +21,14 @@
     /// How long the store may hold a watch call without changes, in milliseconds.
     pub wait_ms: u64,
     /// Pause after an answer with changes, so that the next one brings several together.
-    pub pause: Duration,
+    pub min_pause: Duration,
     /// What is watched.
-    pub what: Watch,
+    pub target: WatchTarget,
 }
 
 /// What is watched. Updates of the planner can replace watches of the routing and the list.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Watch {
+pub(crate) enum WatchTarget {
     /// The operators' routing.
     Routing,
     /// The endpoint list, and the longest pause between two calls for its changes.
@@ -37,12 +37,12 @@
     Own,
 }
 
-impl Watch {
+impl WatchTarget {
     fn store_use(self) -> StoreUse {
         match self {
-            Watch::Routing => StoreUse::Routing,
-            Watch::List(_) => StoreUse::List,
-            Watch::Own => StoreUse::Own,
+            WatchTarget::Routing => StoreUse::Routing,
+            WatchTarget::List(_) => StoreUse::List,
+            WatchTarget::Own => StoreUse::Own,
         }
     }
 }
@@ -76,7 +76,7 @@
         on_entries(read);
         send_routing_checked(&shared, pace, read_number);
         let watching = follow_changes(&shared, prefix, pace, at, &mut on_changes);
-        if matches!(pace.what, Watch::List(_)) {
+        if matches!(pace.target, WatchTarget::List(_)) {
             // The reducer may request that the list is read in full again.
             tokio::select! {
                 () = watching => {}
@@ -109,7 +109,8 @@
             return;
         }
         let read_number = shared.routing_reads.get();
-        let wait_ms = if permit.is_trial || (pace.what == Watch::Routing && read_number > completed)
+        let wait_ms = if permit.is_trial
+            || (pace.target == WatchTarget::Routing && read_number > completed)
         {
             SHORT_WAIT_MS
         } else {
@@ -118,7 +119,7 @@
         let max_time = Duration::from_millis(wait_ms) + ANSWER_MARGIN;
         let request = (shared.adapter.build_watch)(&host, prefix, at.revision, wait_ms);
         let answer = tokio::select! {
-            answer = send_call(shared, pace.what.store_use(), permit, request, max_time) => answer,
+            answer = send_call(shared, pace.target.store_use(), permit, request, max_time) => answer,
             () = shared.wait_era_end(at.era) => return,
             // The answer of this call may be old by now, so it is sent again.
             () = shared.watch_restart.notified() => continue,
@@ -126,10 +127,10 @@
         if !shared.is_current_era(at.era) {
             return;
         }
-        let watched = answer.map_or(WatchResult::Fault, |(status, body)| {
+        let watched = answer.map_or(WatchResult::NoAnswer, |(status, body)| {
             (shared.adapter.parse_watch)(status, &body).unwrap_or_else(|why| {
                 log_invalid(prefix, "the store", &why);
-                WatchResult::Fault
+                WatchResult::NoAnswer
             })
         });
         match watched {
@@ -140,22 +141,22 @@
                 completed = read_number;
                 send_routing_checked(shared, pace, read_number);
                 if count > 0 {
-                    pause_after_changes(shared, pace, more_wait(count, before)).await;
+                    pause_after_changes(shared, pace, has_backlog(count, before)).await;
                 }
                 before = count;
             }
             // Without the pause, a store that drops changes at once would be read in a busy loop.
-            WatchResult::Forgotten => return sleep(pace.pause).await,
+            WatchResult::Compacted => return sleep(pace.min_pause).await,
             // After a failed call the gate delays the next one; after an invalid answer this
             // pause does.
-            WatchResult::Fault => sleep(pace.pause).await,
+            WatchResult::NoAnswer => sleep(pace.min_pause).await,
         }
     }
 }
 
 /// Reports that the routing was read by a call that began after this read was requested.
 fn send_routing_checked(shared: &Shared, pace: WatchPace, read_number: u64) {
-    if pace.what == Watch::Routing {
+    if pace.target == WatchTarget::Routing {
         shared.send_direct(DirectEvent::RoutingChecked { read_number });
     }
 }
@@ -165,10 +166,10 @@
     let mut waited = false;
     loop {
         let changed = shared.pace_changed.notified();
-        let held = match pace.what {
-            Watch::Routing => shared.routing_held.get(),
-            Watch::List(_) => shared.list_pace.get() == ListPace::Paused,
-            Watch::Own => false,
+        let held = match pace.target {
+            WatchTarget::Routing => shared.routing_held.get(),
+            WatchTarget::List(_) => shared.list_pace.get() == ListPace::Paused,
+            WatchTarget::Own => false,
         };
         if !held || !shared.is_current_era(at.era) {
             break;
@@ -176,7 +177,7 @@
         waited = true;
         changed.await;
     }
-    let is_list = matches!(pace.what, Watch::List(_));
+    let is_list = matches!(pace.target, WatchTarget::List(_));
     if !waited || !is_list {
         return;
     }
@@ -195,17 +196,19 @@
 /// How long the store may hold the next watch call, in milliseconds.
 fn wait_ms(shared: &Shared, pace: WatchPace) -> u64 {
     let is_planner = shared.list_pace.get() == ListPace::Fast;
-    match pace.what {
-        Watch::Routing | Watch::List(_) if is_planner => pace.wait_ms.min(PLANNER_WAIT_MS),
+    match pace.target {
+        WatchTarget::Routing | WatchTarget::List(_) if is_planner => {
+            pace.wait_ms.min(PLANNER_WAIT_MS)
+        }
         _ => pace.wait_ms,
     }
 }
 
 /// Pauses after an answer with changes, for the shortest time if the store has `more` of them.
 async fn pause_after_changes(shared: &Shared, pace: WatchPace, more: bool) {
-    let min_pause = pace.pause.max(shared.min_pause());
+    let min_pause = pace.min_pause.max(shared.min_pause());
     sleep(min_pause).await;
-    let Watch::List(max_pause) = pace.what else {
+    let WatchTarget::List(max_pause) = pace.target else {
         return;
     };
     if shared.list_pace.get() == ListPace::Fast || more {
--- a/src/settings/direct_settings.rs
+++ b/src/settings/direct_settings.rs
@@ -5,7 +5,7 @@
 
 use super::ini_reader::IniReader;
 use super::SettingsError;
-use crate::link::{Watch, WatchPace};
+use crate::link::{WatchPace, WatchTarget};
 use crate::logic::direct::{DirectParams, Mechanism};
 use crate::types::MissingValue;
 
@@ -36,7 +36,7 @@
     /// Time after which an endpoint that leaves must get no new requests, in milliseconds.
     pub drain_ms: u64,
     /// Read calls that the store takes in a second from all routers; 0 where it isn't known.
-    pub reads: u64,
+    pub reads_per_s: u64,
     /// Parameters of the router's decisions.
     pub params: DirectParams,
     /// Values that the file leaves empty, with the defaults that are used in their place.
@@ -81,7 +81,7 @@
             watch_ms: 2_000,
             list_ms: 150,
             drain_ms: 2_000,
-            reads: 0,
+            reads_per_s: 0,
             params: DirectParams::default(),
             missing_values: Vec::new(),
         }
@@ -117,7 +117,7 @@
                 .clamp(MIN_WATCH_MS, MAX_WATCH_MS),
             list_ms: ini.number("direct", "list_ms", d.list_ms, 0..=10_000, "milliseconds"),
             drain_ms: ini.scaled_number("direct", "drain_ms", d.drain_ms, 1, "milliseconds"),
-            reads: ini.scaled_number("direct", "reads_per_s", d.reads, 1, "calls"),
+            reads_per_s: ini.scaled_number("direct", "reads_per_s", d.reads_per_s, 1, "calls"),
             params: read_params(&mut ini),
             missing_values: ini.missing_values().to_vec(),
         };
@@ -129,8 +129,8 @@
     pub(crate) fn routing_pace(&self) -> WatchPace {
         WatchPace {
             wait_ms: self.watch_ms,
-            pause: Duration::from_millis(50),
-            what: Watch::Routing,
+            min_pause: Duration::from_millis(50),
+            target: WatchTarget::Routing,
         }
     }
 
@@ -139,8 +139,8 @@
     pub(crate) fn own_pace(&self) -> WatchPace {
         WatchPace {
             wait_ms: (self.watch_ms * OWN_WAIT_FACTOR).min(MAX_WATCH_MS),
-            pause: OWN_PAUSE,
-            what: Watch::Own,
+            min_pause: OWN_PAUSE,
+            target: WatchTarget::Own,
         }
     }
 
@@ -148,8 +148,8 @@
     pub(crate) fn list_pace(&self) -> WatchPace {
         WatchPace {
             wait_ms: self.watch_ms,
-            pause: Duration::from_millis(self.list_ms),
-            what: Watch::List(
+            min_pause: Duration::from_millis(self.list_ms),
+            target: WatchTarget::List(
                 Duration::from_millis(self.drain_ms / LIST_PAUSE_DIVISOR).min(MAX_LIST_PAUSE),
             ),
         }
--- a/tests/direct/adapter.rs
+++ b/tests/direct/adapter.rs
@@ -185,17 +185,17 @@
         }
         (adapter().parse_reply)(&response.into_parts().0, "abc")
     };
-    assert!(head(200, &[("x-attempt-id", "other")]).foreign);
-    assert!(head(200, &[]).foreign);
+    assert!(head(200, &[("x-attempt-id", "other")]).is_foreign);
+    assert!(head(200, &[]).is_foreign);
     assert!(
         head(
             200,
             &[("x-attempt-id", "abc"), ("content-encoding", "gzip")]
         )
-        .foreign
+        .is_foreign
     );
     let refused = head(503, &[("x-not-run", "1")]);
-    assert!(refused.not_run && !refused.foreign);
+    assert!(refused.not_run && !refused.is_foreign);
     assert!(head(421, &[]).not_run);
     let ran = head(503, &[("x-attempt-id", "abc")]);
     assert!(!ran.not_run);
@@ -288,7 +288,7 @@
     let ended = (adapter().parse_call)(&StoreCall::Renew { lease: 4 }, StatusCode::NOT_FOUND, b"");
     assert_eq!(ended, Ok(Ok(StoreReply::Lease { lease: 4, ttl_s: 0 })));
     let compacted = (adapter().parse_watch)(StatusCode::GONE, b"{}");
-    assert_eq!(compacted, Ok(WatchResult::Forgotten));
+    assert_eq!(compacted, Ok(WatchResult::Compacted));
     let events = br#"{"events":[{"Key":"a","Value":"eA==","Revision":4},{"Key":"b","Revision":5,"Removed":true}],"AsOf":6}"#;
     match (adapter().parse_watch)(StatusCode::OK, events) {
         Ok(WatchResult::Changes { revision, changes }) => {
--- a/tests/direct/digests.rs
+++ b/tests/direct/digests.rs
@@ -603,8 +603,8 @@
 /// interval, for a backlog of changes.
 #[test]
 fn many_changes_alone_are_no_backlog() {
-    use runrail::link::more_wait;
-    assert!(!more_wait(405, 398), "heartbeats of a fleet");
-    assert!(more_wait(500, 500), "answers that are cut at a bound");
-    assert!(!more_wait(3, 3));
+    use runrail::link::has_backlog;
+    assert!(!has_backlog(405, 398), "heartbeats of a fleet");
+    assert!(has_backlog(500, 500), "answers that are cut at a bound");
+    assert!(!has_backlog(3, 3));
 }
