--- a/benches/capacity/processes.rs
+++ b/benches/capacity/processes.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use testkit::{Chat, EngineKnobs, Fleet, FleetPlan};
+use testkit::{Chat, EngineParams, Fleet, FleetPlan};
 
 const REQUESTS: u64 = 400;
 const CALLERS: u64 = 8;
@@ -11,10 +11,10 @@
 const TICKS_PER_S: f64 = 100.0;
 
 pub fn run() {
-    let engine = EngineKnobs {
+    let engine = EngineParams {
         piece: Duration::from_millis(1),
         slots: 64,
-        ..EngineKnobs::default()
+        ..EngineParams::default()
     };
     let fleet = Fleet::serving(
         env!("CARGO_BIN_EXE_runrail"),
@@ -83,7 +83,7 @@
 fn measure_streams(fleet: &Fleet, leader: &str) {
     println!("| open streams | router KiB | leader KiB |\n|---|---|---|");
     for engine in fleet.engines.values() {
-        engine.set_knobs(|k| {
+        engine.set_params(|k| {
             k.slots = 1_000;
             k.piece = Duration::from_millis(200);
         });
--- a/benches/capacity/sessions.rs
+++ b/benches/capacity/sessions.rs
@@ -43,7 +43,7 @@
         key: Arc::from(&b"a key of at least thirty-two bytes"[..]),
     };
     let net = Net::start(me, NetSettings::default(), move |event| {
-        if matches!(event, NetEvent::Up(_)) {
+        if matches!(event, NetEvent::Connected(_)) {
             connected.fetch_add(1, Ordering::SeqCst);
         }
     });
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -13,7 +13,7 @@
 use runrail::logic::router::{OperatorCall, OperatorReply, RouterParams};
 use runrail::settings::{AgentSettings, RouterSettings};
 use runrail::types::BundleBody;
-use testkit::{post, Call, Engine, EngineKnobs, Fabric, ListedInstance, Platform};
+use testkit::{post, Call, Engine, EngineParams, Fabric, ListedInstance, Platform};
 
 /// SHA-256 of the API key `desk-key`.
 const KEY_SHA256: &str = "fd501e4e4eabb3b62f313e4d323048dfbddebb4d702c7b63512125b3fa21dd28";
@@ -28,9 +28,9 @@
     println!("2. starting an agent for each engine");
     for i in 1..=4 {
         let id = format!("brno1-r1-i{i}");
-        let params = EngineKnobs {
+        let params = EngineParams {
             piece: Duration::from_millis(60),
-            ..EngineKnobs::default()
+            ..EngineParams::default()
         };
         let engine = Engine::start(&id, &fabric, params);
         let agent = start_agent(&id, &engine)?;
@@ -103,8 +103,8 @@
         hall: "brno1".into(),
         key: Arc::from(FLEET_KEY),
         platform: PlatformSettings {
-            kv: vec![platform.addr()],
-            list: platform.addr(),
+            kv_addrs: vec![platform.addr()],
+            list_addr: platform.addr(),
             ..PlatformSettings::default()
         },
         params: RouterParams {
--- a/src/endpoint/endpoint_client.rs
+++ b/src/endpoint/endpoint_client.rs
@@ -43,7 +43,7 @@
             .input_buffer_size(BUFFER_BYTES)
             .output_buffer_size(BUFFER_BYTES)
             .timeout_connect(Some(std::time::Duration::from_secs(2)))
-            .timeout_recv_response(Some(settings.silence))
+            .timeout_recv_response(Some(settings.head_timeout))
             .build()
             .into();
         Self {
@@ -72,8 +72,8 @@
     }
 
     /// Starts a thread that requests the engine's status at the set interval.
-    pub fn watch_status(&self) {
-        if !self.settings.engine {
+    pub fn poll_status(&self) {
+        if !self.settings.is_engine {
             return;
         }
         let client = self.clone();
@@ -82,7 +82,7 @@
             .stack_size(STACK_BYTES)
             .spawn(move || loop {
                 client.request_status();
-                std::thread::sleep(client.settings.status);
+                std::thread::sleep(client.settings.status_interval);
             });
         if let Err(e) = spawned {
             log::warn!(target: "runrail", "the endpoint's status is not polled: {e}");
@@ -127,7 +127,7 @@
             .agent
             .post(self.url("/runrail/v1/load"))
             .config()
-            .timeout_recv_response(Some(self.settings.load))
+            .timeout_recv_response(Some(self.settings.load_timeout))
             .build();
         request
             .send(body.to_string())
--- a/src/endpoint/endpoint_settings.rs
+++ b/src/endpoint/endpoint_settings.rs
@@ -7,24 +7,24 @@
     /// Address.
     pub addr: SocketAddr,
     /// Timeout of the head of the response to an order to load a model.
-    pub load: Duration,
+    pub load_timeout: Duration,
     /// Timeout of the head of a response, except that of an order to load a model. The body has
     /// none.
-    pub silence: Duration,
+    pub head_timeout: Duration,
     /// Interval between two requests for its status; a plain service isn't asked.
-    pub status: Duration,
+    pub status_interval: Duration,
     /// Whether it is a model engine, which reports its status.
-    pub engine: bool,
+    pub is_engine: bool,
 }
 
 impl Default for EndpointSettings {
     fn default() -> Self {
         Self {
             addr: SocketAddr::from(([127, 0, 0, 1], 0)),
-            load: Duration::from_secs(900),
-            silence: Duration::from_secs(120),
-            status: Duration::from_secs(1),
-            engine: true,
+            load_timeout: Duration::from_secs(900),
+            head_timeout: Duration::from_secs(120),
+            status_interval: Duration::from_secs(1),
+            is_engine: true,
         }
     }
 }
--- a/src/etcd/kv_client.rs
+++ b/src/etcd/kv_client.rs
@@ -64,7 +64,7 @@
 
 pub(super) fn http_agent(settings: &PlatformSettings) -> ureq::Agent {
     ureq::Agent::config_builder()
-        .timeout_global(Some(settings.call))
+        .timeout_global(Some(settings.call_timeout))
         .http_status_as_error(false)
         .build()
         .into()
@@ -93,8 +93,8 @@
         let failures = self.failures.load(Ordering::Relaxed);
         let addr = self
             .settings
-            .kv
-            .get(failures % self.settings.kv.len().max(1));
+            .kv_addrs
+            .get(failures % self.settings.kv_addrs.len().max(1));
         let Some(addr) = addr else {
             return Err(StoreFault);
         };
--- a/src/etcd/list_client.rs
+++ b/src/etcd/list_client.rs
@@ -33,7 +33,7 @@
         let agent = http_agent(settings);
         // The platform answers with the routers of all halls and the other instances of
         // this one.
-        let url = format!("http://{}/instances?hall={hall}", settings.list);
+        let url = format!("http://{}/instances?hall={hall}", settings.list_addr);
         std::thread::Builder::new()
             .name("list".into())
             .spawn(move || {
--- a/src/etcd/platform_settings.rs
+++ b/src/etcd/platform_settings.rs
@@ -5,11 +5,11 @@
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// Addresses of the key-value service; after a failed call the next one is used.
-    pub kv: Vec<SocketAddr>,
+    pub kv_addrs: Vec<SocketAddr>,
     /// Address of the instance list.
-    pub list: SocketAddr,
+    pub list_addr: SocketAddr,
     /// Timeout of a call.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Maximum number of concurrent calls to the key-value service.
     pub workers: usize,
 }
@@ -17,9 +17,9 @@
 impl Default for PlatformSettings {
     fn default() -> Self {
         Self {
-            kv: Vec::new(),
-            list: SocketAddr::from(([127, 0, 0, 1], 0)),
-            call: Duration::from_secs(2),
+            kv_addrs: Vec::new(),
+            list_addr: SocketAddr::from(([127, 0, 0, 1], 0)),
+            call_timeout: Duration::from_secs(2),
             workers: 4,
         }
     }
--- a/src/etcd/watcher.rs
+++ b/src/etcd/watcher.rs
@@ -99,12 +99,12 @@
     }
 
     fn connect(&self, number: u64, from: i64) -> Option<impl BufRead> {
-        let count = self.settings.kv.len().max(1);
-        let addr = self.settings.kv.get(number as usize % count)?;
+        let count = self.settings.kv_addrs.len().max(1);
+        let addr = self.settings.kv_addrs.get(number as usize % count)?;
         let agent: ureq::Agent = ureq::Agent::config_builder()
-            .timeout_connect(Some(self.settings.call))
-            .timeout_send_request(Some(self.settings.call))
-            .timeout_recv_response(Some(self.settings.call))
+            .timeout_connect(Some(self.settings.call_timeout))
+            .timeout_send_request(Some(self.settings.call_timeout))
+            .timeout_recv_response(Some(self.settings.call_timeout))
             .timeout_recv_body(Some(MAX_CONNECTION_AGE))
             .http_status_as_error(false)
             .build()
--- a/src/host/host_event.rs
+++ b/src/host/host_event.rs
@@ -33,7 +33,7 @@
         /// The other process.
         peer: String,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// Ends the actor at once, without a shutdown; for tests of lost processes.
     Halt,
--- a/src/host/node_actor.rs
+++ b/src/host/node_actor.rs
@@ -123,10 +123,10 @@
                 // Fails only if the querying thread has stopped waiting.
                 let _ = reply.send(answer);
             }
-            HostEvent::SessionRefused { peer, why } => {
+            HostEvent::SessionRefused { peer, reason } => {
                 let event = LogEvent::new(LogCode::SessionRefused)
                     .with("peer", peer)
-                    .with("why", why);
+                    .with("why", reason);
                 self.log_event(&event);
             }
             HostEvent::Halt => stop!(cx),
@@ -170,7 +170,7 @@
         match effect {
             Effect::Send { to, message } => self.environment.net.send(&to, message),
             Effect::OpenSession { to, addr } => self.environment.net.dial(&to, addr),
-            Effect::CloseSession(to) => self.environment.net.hangup(&to),
+            Effect::CloseSession(to) => self.environment.net.disconnect(&to),
             Effect::Store { call, op } => {
                 if let Some(platform) = &self.environment.platform {
                     platform.kv.call(call, op);
--- a/src/host/process_handle.rs
+++ b/src/host/process_handle.rs
@@ -56,8 +56,8 @@
             log::error!(target: "runrail", "the actor thread panicked");
         }
         for server in &self.servers {
-            server.finish(MAX_ANSWER_TIME);
+            server.drain(MAX_ANSWER_TIME);
         }
-        self.net.finish(MAX_MESSAGE_TIME);
+        self.net.shutdown(MAX_MESSAGE_TIME);
     }
 }
--- a/src/host/run_agent.rs
+++ b/src/host/run_agent.rs
@@ -35,7 +35,7 @@
     let endpoint = EndpointClient::new(settings.endpoint.clone(), clock, move |event| {
         endpoint_inbox.send(HostEvent::Step(Event::Endpoint(event)));
     });
-    endpoint.watch_status();
+    endpoint.poll_status();
     let addresses = Addresses {
         peers: net.addr(),
         callers: None,
--- a/src/host/run_router.rs
+++ b/src/host/run_router.rs
@@ -78,12 +78,12 @@
     let inbox = inbox.clone();
     Net::start(identity.clone(), settings, move |event| {
         inbox.send(match event {
-            NetEvent::Up(peer) => HostEvent::Step(Event::SessionOpened(peer)),
-            NetEvent::Down(id) => HostEvent::Step(Event::SessionClosed(id)),
+            NetEvent::Connected(peer) => HostEvent::Step(Event::SessionOpened(peer)),
+            NetEvent::Disconnected(id) => HostEvent::Step(Event::SessionClosed(id)),
             NetEvent::Message { from, message } => {
                 HostEvent::Step(Event::Message { from, message })
             }
-            NetEvent::Refused { peer, why } => HostEvent::SessionRefused { peer, why },
+            NetEvent::SessionRefused { peer, reason } => HostEvent::SessionRefused { peer, reason },
         });
     })
 }
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits until all open requests are answered, at most for `limit`.
-    pub fn finish(&self, limit: Duration) {
+    pub fn drain(&self, limit: Duration) {
         let start = Instant::now();
         while self.open_requests.load(Ordering::SeqCst) > 0 && start.elapsed() < limit {
             std::thread::sleep(Duration::from_millis(5));
--- a/src/settings/agent_settings.rs
+++ b/src/settings/agent_settings.rs
@@ -84,10 +84,10 @@
     };
     EndpointSettings {
         addr: parsed.unwrap_or(d.addr),
-        load: ms("load_ms", d.load, 7_200_000),
-        silence: ms("silence_ms", d.silence, 3_600_000),
-        status: ms("status_ms", d.status, 60_000),
-        engine: kind == "engine",
+        load_timeout: ms("load_ms", d.load_timeout, 7_200_000),
+        head_timeout: ms("silence_ms", d.head_timeout, 3_600_000),
+        status_interval: ms("status_ms", d.status_interval, 60_000),
+        is_engine: kind == "engine",
     }
 }
 
--- a/src/settings/router_settings.rs
+++ b/src/settings/router_settings.rs
@@ -113,7 +113,7 @@
 /// Reads the settings of sessions, which routers and agents share.
 pub(super) fn read_net(ini: &mut IniReader) -> NetSettings {
     let default = NetSettings::default();
-    let idle = default.idle.as_millis() as u64;
+    let idle = default.ping_interval.as_millis() as u64;
     NetSettings {
         listen: ini.parsed(
             "listen",
@@ -121,17 +121,17 @@
             default.listen,
             "an IP address and a port",
         ),
-        idle: Duration::from_millis(ini.number(
+        ping_interval: Duration::from_millis(ini.number(
             "sessions",
             "idle_ms",
             idle,
             50..=60_000,
             "milliseconds",
         )),
-        sessions: ini.number(
+        max_sessions: ini.number(
             "sessions",
             "limit",
-            default.sessions,
+            default.max_sessions,
             1..=65_536,
             "sessions",
         ),
@@ -158,7 +158,7 @@
 
 fn read_platform(ini: &mut IniReader) -> PlatformSettings {
     let default = PlatformSettings::default();
-    let call = default.call.as_millis() as u64;
+    let call = default.call_timeout.as_millis() as u64;
     let list = ini.required(
         "platform",
         "list",
@@ -174,13 +174,13 @@
         );
     }
     PlatformSettings {
-        kv: ini.list(
+        kv_addrs: ini.list(
             "platform",
             "kv",
             "IP addresses and ports, separated by commas",
         ),
-        list: list_addr.unwrap_or(default.list),
-        call: Duration::from_millis(ini.number(
+        list_addr: list_addr.unwrap_or(default.list_addr),
+        call_timeout: Duration::from_millis(ini.number(
             "platform",
             "call_ms",
             call,
--- a/src/wire/net.rs
+++ b/src/wire/net.rs
@@ -28,17 +28,17 @@
     pub listen: SocketAddr,
     /// Interval of pings; a session ends at the first ping time at which no frame came for more
     /// than three times this long.
-    pub idle: Duration,
+    pub ping_interval: Duration,
     /// Maximum number of open sessions that were dialled by other processes.
-    pub sessions: usize,
+    pub max_sessions: usize,
 }
 
 impl Default for NetSettings {
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            idle: Duration::from_secs(4),
-            sessions: 4_096,
+            ping_interval: Duration::from_secs(4),
+            max_sessions: 4_096,
         }
     }
 }
@@ -86,7 +86,7 @@
 
 impl Net {
     /// Starts listening and the thread of the sessions. `events` is called on that thread,
-    /// and by [`Net::send`] and [`Net::hangup`] on the thread that calls them.
+    /// and by [`Net::send`] and [`Net::disconnect`] on the thread that calls them.
     ///
     /// # Errors
     /// Returns the error of the runtime, the listening socket or the thread.
@@ -147,7 +147,7 @@
             let gone = !has_session(&table, to);
             drop(table);
             if gone {
-                (self.shared.events)(NetEvent::Down(to.clone()));
+                (self.shared.events)(NetEvent::Disconnected(to.clone()));
             }
         }
     }
@@ -166,7 +166,7 @@
     }
 
     /// Sends the queued messages and closes every session; waits at most `limit` for that.
-    pub fn finish(&self, limit: Duration) {
+    pub fn shutdown(&self, limit: Duration) {
         self.shared.closing.store(true, Ordering::SeqCst);
         // A session whose sender was dropped ends once its queue is sent.
         lock_table(&self.shared).sessions.clear();
@@ -177,7 +177,7 @@
     }
 
     /// Closes the session with a peer that this process dialled, and stops dialling it.
-    pub fn hangup(&self, to: &InstanceId) {
+    pub fn disconnect(&self, to: &InstanceId) {
         let mut table = lock_table(&self.shared);
         if let Some(task) = table.diallers.remove(to) {
             task.abort();
@@ -186,7 +186,7 @@
         let gone = removed.is_some() && !has_session(&table, to);
         drop(table);
         if gone {
-            (self.shared.events)(NetEvent::Down(to.clone()));
+            (self.shared.events)(NetEvent::Disconnected(to.clone()));
         }
     }
 }
@@ -202,7 +202,7 @@
 }
 
 async fn accept_sessions(shared: Arc<Shared>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(shared.settings.sessions));
+    let permits = Arc::new(Semaphore::new(shared.settings.max_sessions));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             tokio::time::sleep(REDIAL_WAITS[0]).await;
@@ -214,16 +214,16 @@
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            if let Err(why) = accept_session(&shared, stream).await {
-                notify_refused(&shared, from.to_string(), why);
+            if let Err(reason) = accept_session(&shared, stream).await {
+                notify_refused(&shared, from.to_string(), reason);
             }
             drop(permit);
         });
     }
 }
 
-fn notify_refused(shared: &Shared, peer: String, why: String) {
-    (shared.events)(NetEvent::Refused { peer, why });
+fn notify_refused(shared: &Shared, peer: String, reason: String) {
+    (shared.events)(NetEvent::SessionRefused { peer, reason });
 }
 
 async fn accept_session(shared: &Arc<Shared>, stream: TcpStream) -> Result<(), String> {
@@ -250,10 +250,10 @@
     while !shared.closing.load(Ordering::SeqCst) {
         match dial_session(&shared, &to, addr).await {
             Ok(()) => wait = REDIAL_WAITS[0],
-            Err(why) => {
-                if why != last {
-                    notify_refused(&shared, to.to_string(), why.clone());
-                    last = why;
+            Err(reason) => {
+                if reason != last {
+                    notify_refused(&shared, to.to_string(), reason.clone());
+                    last = reason;
                 }
                 wait = (wait * 2).min(REDIAL_WAITS[1]);
             }
@@ -314,7 +314,7 @@
         let gone = !has_session(&table, &self.key.0);
         drop(table);
         if gone {
-            (self.shared.events)(NetEvent::Down(self.key.0.clone()));
+            (self.shared.events)(NetEvent::Disconnected(self.key.0.clone()));
         }
     }
 }
@@ -337,9 +337,9 @@
         key,
         serial,
     };
-    (shared.events)(NetEvent::Up(peer.clone()));
+    (shared.events)(NetEvent::Connected(peer.clone()));
     let from = peer.clone();
-    session::run(socket, receiver, shared.settings.idle, |message| {
+    session::run(socket, receiver, shared.settings.ping_interval, |message| {
         (shared.events)(NetEvent::Message {
             from: from.clone(),
             message,
--- a/src/wire/net_event.rs
+++ b/src/wire/net_event.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Debug)]
 pub enum NetEvent {
     /// A session was opened; it may replace an earlier one with the same peer.
-    Up(Peer),
+    Connected(Peer),
     /// The last session with a peer was closed.
-    Down(InstanceId),
+    Disconnected(InstanceId),
     /// A message was received.
     Message {
         /// Sender.
@@ -17,10 +17,10 @@
         message: Message,
     },
     /// A session could not be opened, or was refused by one of the sides.
-    Refused {
+    SessionRefused {
         /// Address of a process that connected, or instance that was dialled.
         peer: String,
         /// Reason.
-        why: String,
+        reason: String,
     },
 }
--- a/testkit/src/engine.rs
+++ b/testkit/src/engine.rs
@@ -11,7 +11,7 @@
 
 /// Parameters of a stand-in engine.
 #[derive(Clone, Debug)]
-pub struct EngineKnobs {
+pub struct EngineParams {
     /// Number of requests that it reports as its concurrency limit; it doesn't enforce it.
     pub slots: u32,
     /// Time that each piece of an answer takes.
@@ -26,7 +26,7 @@
     pub broken_versions: Vec<String>,
 }
 
-impl Default for EngineKnobs {
+impl Default for EngineParams {
     fn default() -> Self {
         Self {
             slots: 8,
@@ -81,7 +81,7 @@
 }
 
 struct State {
-    params: EngineKnobs,
+    params: EngineParams,
     fence: u64,
     cancelled: BTreeSet<String>,
     running: u32,
@@ -131,7 +131,7 @@
     ///
     /// # Panics
     /// When no port is free.
-    pub fn start(name: &str, fabric: &Fabric, params: EngineKnobs) -> Self {
+    pub fn start(name: &str, fabric: &Fabric, params: EngineParams) -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port");
         let addr = server.server_addr().to_ip().expect("an IP address");
         let engine = Self {
@@ -161,7 +161,7 @@
     }
 
     /// Changes its parameters.
-    pub fn set_knobs(&self, change: impl FnOnce(&mut EngineKnobs)) {
+    pub fn set_params(&self, change: impl FnOnce(&mut EngineParams)) {
         change(&mut self.lock().params);
     }
 
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -9,7 +9,7 @@
 use tempfile::TempDir;
 
 use crate::{
-    post, until, Answer, Call, Engine, EngineKnobs, Fabric, ListedInstance, Platform, Process,
+    post, until, Answer, Call, Engine, EngineParams, Fabric, ListedInstance, Platform, Process,
     Relay, Service,
 };
 
@@ -58,7 +58,7 @@
     /// Length of the presence leases that members grant their leader, in milliseconds.
     pub lease_ms: u64,
     /// Parameters of the engines.
-    pub engine: EngineKnobs,
+    pub engine: EngineParams,
 }
 
 impl Default for FleetPlan {
@@ -68,7 +68,7 @@
             engines: 4,
             service: false,
             lease_ms: 600,
-            engine: EngineKnobs::default(),
+            engine: EngineParams::default(),
         }
     }
 }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod soak;
 mod sse_client;
 
-pub use engine::{Engine, EngineKnobs, EngineRun, Fabric};
+pub use engine::{Engine, EngineParams, EngineRun, Fabric};
 pub use fleet::{test_bundle, Chat, Fleet, FleetPlan, BRANCH_KEY, DESK_KEY, LONG};
 pub use platform::{ListedInstance, Platform, PlatformFault};
 pub use ports::free_addr;
--- a/tests/contract/endpoint.rs
+++ b/tests/contract/endpoint.rs
@@ -10,7 +10,7 @@
 use runrail::logic::{EndpointCall, EndpointEvent, LoadOrder, RunResult, StartOrder};
 use runrail::message::RunId;
 use runrail::types::{GroupRole, ModelKind, RequestId};
-use testkit::{Engine, EngineKnobs, Fabric, Service};
+use testkit::{Engine, EngineParams, Fabric, Service};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -26,9 +26,9 @@
     (client, events)
 }
 
-fn engine(knobs: EngineKnobs) -> (Fabric, Engine) {
+fn engine(params: EngineParams) -> (Fabric, Engine) {
     let fabric = Fabric::new();
-    let engine = Engine::start("x", &fabric, knobs);
+    let engine = Engine::start("x", &fabric, params);
     (fabric, engine)
 }
 
@@ -85,7 +85,7 @@
 
 #[test]
 fn an_engine_loads_answers_and_resumes_at_an_offset() {
-    let (_, engine) = engine(EngineKnobs::default());
+    let (_, engine) = engine(EngineParams::default());
     let (client, events) = client(engine.addr());
     client.call(load(5));
     let loaded = events.recv_timeout(TIMEOUT).expect("an event");
@@ -107,7 +107,7 @@
 
 #[test]
 fn an_order_with_an_old_fence_is_refused_and_not_run() {
-    let (fabric, engine) = engine(EngineKnobs::default());
+    let (fabric, engine) = engine(EngineParams::default());
     let (client, events) = client(engine.addr());
     client.call(load(6));
     events.recv_timeout(TIMEOUT).expect("an event");
@@ -118,7 +118,7 @@
 
 #[test]
 fn an_order_that_has_expired_or_finds_no_endpoint_is_not_run() {
-    let (fabric, engine) = engine(EngineKnobs::default());
+    let (fabric, engine) = engine(EngineParams::default());
     let (connected, events) = client(engine.addr());
     connected.call(start(1, |o| o.valid_until = 0));
     assert_eq!(outcome(&events).1, RunResult::NotRun);
@@ -130,10 +130,10 @@
 
 #[test]
 fn a_cancelled_run_ends_as_cancelled_and_one_on_a_group_that_lost_a_member_as_broken() {
-    let (fabric, engine) = engine(EngineKnobs {
+    let (fabric, engine) = engine(EngineParams {
         piece: Duration::from_millis(50),
         pieces: 200,
-        ..EngineKnobs::default()
+        ..EngineParams::default()
     });
     let (client, events) = client(engine.addr());
     client.call(load(5));
--- a/tests/contract/platform.rs
+++ b/tests/contract/platform.rs
@@ -14,8 +14,8 @@
 
 fn settings(platform: &Platform) -> PlatformSettings {
     PlatformSettings {
-        kv: vec![platform.addr()],
-        list: platform.addr(),
+        kv_addrs: vec![platform.addr()],
+        list_addr: platform.addr(),
         ..PlatformSettings::default()
     }
 }
--- a/tests/contract/sessions.rs
+++ b/tests/contract/sessions.rs
@@ -28,8 +28,8 @@
 fn refusal_reason(events: &Receiver<NetEvent>) -> String {
     loop {
         match events.recv_timeout(TIMEOUT).expect("an event") {
-            NetEvent::Refused { why, .. } => return why,
-            NetEvent::Up(peer) => panic!("a session with {peer:?} was opened"),
+            NetEvent::SessionRefused { reason, .. } => return reason,
+            NetEvent::Connected(peer) => panic!("a session with {peer:?} was opened"),
             _ => {}
         }
     }
@@ -42,9 +42,9 @@
     a.dial(&InstanceId::new("b"), b.addr());
     // A message sent before the session is open on this side would be dropped.
     let up = own_events.recv_timeout(TIMEOUT).expect("an event");
-    assert!(matches!(up, NetEvent::Up(p) if p.id.as_str() == "b"));
+    assert!(matches!(up, NetEvent::Connected(p) if p.id.as_str() == "b"));
     let up = events.recv_timeout(TIMEOUT).expect("an event");
-    assert!(matches!(up, NetEvent::Up(p) if p.id.as_str() == "a"));
+    assert!(matches!(up, NetEvent::Connected(p) if p.id.as_str() == "a"));
     a.send(&InstanceId::new("b"), Message::Leave);
     let received = events.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(
@@ -54,9 +54,9 @@
             ..
         }
     ));
-    a.hangup(&InstanceId::new("b"));
+    a.disconnect(&InstanceId::new("b"));
     let down = events.recv_timeout(TIMEOUT).expect("an event");
-    assert!(matches!(down, NetEvent::Down(_)));
+    assert!(matches!(down, NetEvent::Disconnected(_)));
 }
 
 #[test]
@@ -84,12 +84,12 @@
     for _ in 0..500 {
         a.send(&InstanceId::new("b"), Message::Leave);
     }
-    a.finish(TIMEOUT);
+    a.shutdown(TIMEOUT);
     let mut received = 0;
     loop {
         match events.recv_timeout(TIMEOUT).expect("an event") {
             NetEvent::Message { .. } => received += 1,
-            NetEvent::Down(_) => break,
+            NetEvent::Disconnected(_) => break,
             _ => {}
         }
     }
--- a/tests/fleet/bundles.rs
+++ b/tests/fleet/bundles.rs
@@ -191,7 +191,7 @@
         ..FleetPlan::default()
     });
     for engine in fleet.engines.values() {
-        engine.set_knobs(|k| k.broken_versions.push("2".into()));
+        engine.set_params(|k| k.broken_versions.push("2".into()));
     }
     let mut bundle = test_bundle(2);
     bundle["models"][0]["version"] = "2".into();
--- a/tests/fleet/groups.rs
+++ b/tests/fleet/groups.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use testkit::{until, Chat, EngineKnobs, Fleet, FleetPlan, LONG};
+use testkit::{until, Chat, EngineParams, Fleet, FleetPlan, LONG};
 
 use crate::{answered, assert_at_most_once, serving, whole};
 
@@ -206,9 +206,9 @@
 
 #[test]
 fn a_model_whose_load_fails_once_opens_after_a_retry() {
-    let engine = EngineKnobs {
+    let engine = EngineParams {
         broken_versions: vec!["1".into()],
-        ..EngineKnobs::default()
+        ..EngineParams::default()
     };
     let fleet = Fleet::start(
         crate::BINARY,
@@ -226,7 +226,7 @@
     });
     assert!(failed, "{}", fleet.status("e1"));
     for engine in fleet.engines.values() {
-        engine.set_knobs(|k| k.broken_versions.clear());
+        engine.set_params(|k| k.broken_versions.clear());
     }
     fleet.wait_open(1);
 }
--- a/tests/fleet/input.rs
+++ b/tests/fleet/input.rs
@@ -127,9 +127,9 @@
 
 #[test]
 fn an_account_beyond_its_limit_is_refused_with_a_hint() {
-    let engine = testkit::EngineKnobs {
+    let engine = testkit::EngineParams {
         piece: std::time::Duration::from_millis(100),
-        ..testkit::EngineKnobs::default()
+        ..testkit::EngineParams::default()
     };
     let fleet = serving(&FleetPlan {
         engine,
--- a/tests/fleet/leaving.rs
+++ b/tests/fleet/leaving.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use testkit::{until, Chat, EngineKnobs, FleetPlan, LONG};
+use testkit::{until, Chat, EngineParams, FleetPlan, LONG};
 
 use crate::{answered, serving, whole};
 
 fn slow_engines(engines: usize) -> FleetPlan {
     FleetPlan {
         engines,
-        engine: EngineKnobs {
+        engine: EngineParams {
             piece: Duration::from_millis(50),
-            ..EngineKnobs::default()
+            ..EngineParams::default()
         },
         ..FleetPlan::default()
     }
--- a/tests/fleet/once.rs
+++ b/tests/fleet/once.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use testkit::{post, until, Call, Chat, EngineKnobs, FleetPlan, PlatformFault, DESK_KEY, LONG};
+use testkit::{post, until, Call, Chat, EngineParams, FleetPlan, PlatformFault, DESK_KEY, LONG};
 
 use crate::{answered, assert_at_most_once, serving, whole};
 
@@ -21,9 +21,9 @@
 fn slow_engines() -> FleetPlan {
     FleetPlan {
         routers: 2,
-        engine: EngineKnobs {
+        engine: EngineParams {
             piece: Duration::from_millis(40),
-            ..EngineKnobs::default()
+            ..EngineParams::default()
         },
         ..FleetPlan::default()
     }
