--- a/src/settings/router_settings.rs
+++ b/src/settings/router_settings.rs
@@ -113,7 +113,7 @@
 /// Reads the settings of sessions, which routers and agents share.
 pub(super) fn read_net(ini: &mut IniReader) -> NetSettings {
     let default = NetSettings::default();
-    let idle = default.ping_interval.as_millis() as u64;
+    let ping_ms = default.ping_interval.as_millis() as u64;
     NetSettings {
         listen: ini.parsed(
             "listen",
@@ -124,7 +124,7 @@
         ping_interval: Duration::from_millis(ini.number(
             "sessions",
             "idle_ms",
-            idle,
+            ping_ms,
             50..=60_000,
             "milliseconds",
         )),
@@ -158,7 +158,7 @@
 
 fn read_platform(ini: &mut IniReader) -> PlatformSettings {
     let default = PlatformSettings::default();
-    let call = default.call_timeout.as_millis() as u64;
+    let timeout_ms = default.call_timeout.as_millis() as u64;
     let list = ini.required(
         "platform",
         "list",
@@ -183,7 +183,7 @@
         call_timeout: Duration::from_millis(ini.number(
             "platform",
             "call_ms",
-            call,
+            timeout_ms,
             10..=60_000,
             "milliseconds",
         )),
--- a/src/wire/net.rs
+++ b/src/wire/net.rs
@@ -153,7 +153,7 @@
     }
 
     /// Opens a session with a peer, and opens it again whenever it ends, until
-    /// [`Net::hangup`] or [`Net::finish`].
+    /// [`Net::disconnect`] or [`Net::shutdown`].
     pub fn dial(&self, to: &InstanceId, addr: SocketAddr) {
         let shared = self.shared.clone();
         let target = to.clone();
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -60,18 +60,18 @@
 
 /// Runs a session until it ends; returns why it ended.
 ///
-/// Every `idle` a ping is sent, unless a frame came within the last half of `idle`.
-/// At each of these times the session ends if no frame came for more than three times
-/// `idle`. It also ends when a message isn't sent within three times `idle`, or a ping
-/// within `idle`.
+/// Every `ping_interval` a ping is sent, unless a frame came within the last half of
+/// `ping_interval`. At each of these times the session ends if no frame came for more than three
+/// times `ping_interval`. It also ends when a message isn't sent within three times
+/// `ping_interval`, or a ping within `ping_interval`.
 pub(super) async fn run(
     mut socket: Socket,
     mut outgoing: mpsc::Receiver<Message>,
-    idle: Duration,
+    ping_interval: Duration,
     mut incoming: impl FnMut(Message),
 ) -> String {
     let mut received_at = Instant::now();
-    let mut ping = tokio::time::interval(idle);
+    let mut ping = tokio::time::interval(ping_interval);
     loop {
         tokio::select! {
             frame = socket.next() => {
@@ -90,10 +90,10 @@
             message = outgoing.recv() => {
                 let Some(message) = message else {
                     // The peer's close frame isn't awaited: the peer sees the connection end.
-                    let _ = timeout(idle, socket.close(None)).await;
+                    let _ = timeout(ping_interval, socket.close(None)).await;
                     return "closed by this side".to_string();
                 };
-                let sent = timeout(idle * 3, send_value(&mut socket, &message)).await;
+                let sent = timeout(ping_interval * 3, send_value(&mut socket, &message)).await;
                 match sent {
                     Ok(Ok(())) => {}
                     Ok(Err(e)) => return e,
@@ -101,11 +101,12 @@
                 }
             }
             _ = ping.tick() => {
-                if received_at.elapsed() > idle * 3 {
+                if received_at.elapsed() > ping_interval * 3 {
                     return "no frame was received for too long".to_string();
                 }
-                if received_at.elapsed() >= idle / 2 {
-                    let sent = timeout(idle, socket.send(Frame::Ping(Vec::new().into()))).await;
+                if received_at.elapsed() >= ping_interval / 2 {
+                    let sent =
+                        timeout(ping_interval, socket.send(Frame::Ping(Vec::new().into()))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         return "the peer does not accept data".to_string();
                     }
