--- a/src/host/host_event.rs
+++ b/src/host/host_event.rs
@@ -29,11 +29,11 @@
         reply: Sender<serde_json::Value>,
     },
     /// A session with another process was refused.
-    Refused {
+    SessionRefused {
         /// The other process.
         peer: String,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// Ends the actor at once, without a shutdown; for tests of lost processes.
     Halt,
--- a/src/http/http_server.rs
+++ b/src/http/http_server.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits until all open requests are answered, at most for `limit`.
-    pub fn finish(&self, limit: Duration) {
+    pub fn drain(&self, limit: Duration) {
         let start = Instant::now();
         while self.open_requests.load(Ordering::SeqCst) > 0 && start.elapsed() < limit {
             std::thread::sleep(Duration::from_millis(5));
@@ -89,7 +89,7 @@
 
 fn refuse(request: Request, limit: usize) {
     let detail = format!("this router has reached its limit of {limit} open requests");
-    let problem = Problem::not_run(503, detail).retry_in(1_000);
+    let problem = Problem::not_run(503, detail).with_retry(1_000);
     // If the caller has disconnected, nobody needs the response.
     let _ = request.respond(problem_json::response(&problem, None));
 }
